--- a/lupinladder/net/cache_node_protocol.py
+++ b/lupinladder/net/cache_node_protocol.py
@@ -1,4 +1,4 @@
-"""RESP as cache nodes speak it: requests are arrays of words, replies are arrays of three or errors."""
+"""RESP as cache nodes use it: requests are arrays of bulk strings, replies are arrays of three or errors."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     parse_load_report,
 )
 
-MAX_REPLY_ITEMS = 16  # items of an array in a reply
+MAX_REPLY_ITEMS = 16  # of an array in a reply
 REJECTION = b"BUSY"  # the first word of the error by which a node rejects a request
-KNOWN_ERRORS = (  # the first words of all other errors of cache nodes; an unknown one is corrupted
+KNOWN_ERRORS = (  # the first words of all other errors; an error with a different one is corrupted
     b"ERR",
     b"NOPERM",
     b"SYNTAX",
 )
-EXPECTED_ERROR = b"ERR failed"  # how the only error begins that a good request may meet
+EXPECTED_ERROR = b"ERR failed"  # the start of the only error that a valid request may cause
 
 
 class CacheNodeReplyReader:
@@ -39,14 +39,14 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte has come since the reply that was taken last."""
+        """Whether no byte of another reply was read since the last reply that was returned."""
         return self._parser.idle
 
     def next_reply(self, inbox: RingBuffer) -> UpstreamReply | None:
-        """Take the next reply off the inbox; None while it is not whole.
+        """Remove the next reply from the inbox and return it; None while it is incomplete.
 
-        Raises resp.FramingError for bytes that are not RESP, UpstreamProtocolError for RESP that no cache
-        node should write.
+        Raises resp.FramingError for bytes that are not RESP, and UpstreamProtocolError for RESP that is not
+        a valid reply of a cache node.
         """
         reply = self._parser.next(inbox)
         if isinstance(reply, resp.Incomplete):
@@ -56,17 +56,17 @@
         return self._read_result(reply)
 
     def reply_at_close(self) -> UpstreamReply | None:
-        """None: RESP gives every length, so the end of a connection completes nothing."""
+        """Return None: RESP states each length, so the end of a connection never completes a reply."""
         return None
 
     def _read_error(self, error: resp.ErrorReply) -> UpstreamReply:
-        """An error: its first word tells what it is, its last one may be a load report."""
+        """Parse an error: its first word is the kind of error, its last one may be a load report."""
         name, _, rest = error.partition(b" ")
         load = parse_load_report(rest.rsplit(b" ", 1)[-1], self._report_fields)
         if name == REJECTION:
             return UpstreamReply(Outcome.REJECTED, load=load)
         if name not in KNOWN_ERRORS:
-            reason = "an error of an unknown form"
+            reason = "unknown error reply"
             raise UpstreamProtocolError(reason)
         if not error.startswith(EXPECTED_ERROR):
             metrics.cache_node_errors += 1
@@ -74,15 +74,15 @@
         return UpstreamReply(Outcome.ERROR, load=load)
 
     def _read_result(self, result: resp.Value) -> UpstreamReply:
-        """An array of the value (nil: a miss), what the node tells of its cache, and its load report."""
+        """Parse an array of the value (null after a miss), the cache result and the load report."""
         if not isinstance(result, list) or len(result) != 3:
-            reason = "an answer of an unknown form"
+            reason = "reply is not an array of three items"
             raise UpstreamProtocolError(reason)
         value, cache_status, report = result
-        if not (value is None or type(value) is bytes):  # a simple string is bytes too, and no value
-            reason = "a value of an unknown form"
+        if not (value is None or type(value) is bytes):  # SimpleString is a subclass of bytes
+            reason = "value is neither a bulk string nor null"
             raise UpstreamProtocolError(reason)
-        # What stands beside a good value may be corrupted: the value is good all the same.
+        # A corrupted cache result or load report does not make the value invalid.
         cache_result = CacheResult.NONE
         if isinstance(cache_status, bytes):
             cache_result = CACHE_RESULTS.get(cache_status, CacheResult.NONE)
@@ -92,16 +92,16 @@
 
 
 class CacheNodeProtocol:
-    """RESP as cache nodes speak it."""
+    """RESP as cache nodes use it."""
 
     def __init__(self, report_fields: Sequence[str]) -> None:
-        """`report_fields` are the names of the figures in a load report, as in the settings."""
+        """`report_fields` are the names of the fields in a load report, as in the settings."""
         self._report_fields = report_fields
 
     def encode(self, command: ClientCommand, timeout_ms: float) -> bytes:
-        """The command as it came, but with the time that the proxy waits in its labels."""
+        """Encode the client's command unchanged, except that its deadline label holds `timeout_ms`."""
         return resp.encode_array(command.with_deadline(timeout_ms))
 
     def create_reader(self) -> CacheNodeReplyReader:
-        """The reader for the replies on a new connection."""
+        """Create the reader for the replies on a new connection."""
         return CacheNodeReplyReader(self._report_fields)
--- a/lupinladder/net/connection_pool.py
+++ b/lupinladder/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""A pool of connections to one server, which starts attempts on them."""
+"""A pool of connections to one server, on which attempts are started."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from lupinladder.net.upstream_connection import UpstreamConnection
 from lupinladder.net.upstream_protocol import UpstreamProtocol
 
-# One part in so many of the descriptors is kept from connections to servers, so that clients can always come.
+# One sixth of the descriptors is reserved for clients, so that connections to servers never keep clients out.
 CLIENT_DESCRIPTOR_DIVISOR = 6
-# Connections close after this share of the time after which the server closes an idle one: it must not close
-# one that we are about to use.
+# An idle connection is closed after this fraction of the server's idle timeout, so that the server does not
+# close it just as it is reused.
 IDLE_TIMEOUT_FACTOR = 0.8
 
 
 class ConnectionPool:
     """The connections to one server.
 
-    A connection carries one attempt at a time, since replies come in order. The connection that was used last
-    is taken first, so that the others can grow old and close. Only where descriptors run short do attempts
-    share a connection.
+    A connection carries one attempt at a time, because replies arrive in the order of the requests. The most
+    recently used idle connection is reused first, so that the others can reach the idle timeout. Attempts
+    share a connection only while descriptors are short.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         max_attempts_per_connection: int,
         reuse_policy: ReusePolicy | None = None,
     ) -> None:
-        """`idle_timeout_ms` is the time after which the server closes a connection that is idle.
+        """`idle_timeout_ms` is the time after which the server closes an idle connection.
 
         All pools of a proxy share one `reuse_policy`.
         """
@@ -53,12 +53,12 @@
         self.reuse_policy = reuse_policy or ReusePolicy()
         self._idle_timeout_ms = idle_timeout_ms * IDLE_TIMEOUT_FACTOR
         self._max_attempts_per_connection = max_attempts_per_connection
-        self._idle: list[UpstreamConnection] = []  # the one used last at the end
+        self._idle: list[UpstreamConnection] = []  # the most recently used one last
         self._busy: dict[UpstreamConnection, None] = {}  # in the order in which they became busy
         self._retired_at: float | None = None
 
     def start(self, attempt: Attempt) -> None:
-        """Start an attempt; without a connection for it, it ends at once."""
+        """Start an attempt. If there is no connection for it, it ends at once with CONNECT_FAILED."""
         connection = self._take_idle()
         if connection is None:
             connection = self._open_or_share()
@@ -75,13 +75,13 @@
                 return
 
     def request_finished(self, attempt: Attempt) -> None:
-        """Nobody waits for the request of an attempt that is out: the rest of it must not be written."""
+        """Abort the rest of an attempt that is partly written, as its request is finished."""
         for connection in self._busy:
             if connection.cut_off(attempt):
                 return
 
     def retire(self) -> None:
-        """The server leaves: what is in flight may finish, no connection is kept."""
+        """Send the server nothing more: attempts in flight may finish, and no connection is kept."""
         self._retired_at = self.loop.now()
         for connection in list(self._idle):
             connection.close(CloseReason.SERVER_RETIRED)
@@ -95,11 +95,11 @@
         return False
 
     def check_send(self, attempt: Attempt, told_deadline: float) -> None:
-        """Hold a send, which is about to be made, to the rules; the server is told a deadline in ms."""
+        """Check the invariants for an attempt that is about to be sent with `told_deadline`, in ms."""
         attempt.dispatcher.monitor.check_send(attempt, told_deadline, self._retired_at, self.loop.now())
 
     def mark_idle(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that has no attempt any more, for the next one or until it is too old."""
+        """Keep a connection without attempts until it is reused or reaches the idle timeout."""
         self._busy.pop(connection, None)
         if self._retired_at is not None:
             connection.close(CloseReason.SERVER_RETIRED)
@@ -111,14 +111,14 @@
         connection.idle_timer = self.loop.call_at(close_at, lambda: connection.close(CloseReason.SERVER_IDLE))
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection from the pool."""
         self._busy.pop(connection, None)
         self.budget.idle_connections.pop(connection, None)
         if connection in self._idle:
             self._idle.remove(connection)
 
     def _take_idle(self) -> UpstreamConnection | None:
-        """The idle connection that was used last, has rested and is still usable, now busy."""
+        """Return the most recently used idle connection that may be reused, and mark it as busy."""
         while (connection := self._last_rested()) is not None:
             self._idle.remove(connection)
             self.budget.idle_connections.pop(connection, None)
@@ -127,7 +127,7 @@
             if connection.connection.is_reusable:
                 self._busy[connection] = None
                 return connection
-            # The server has ended it, or sent more than was asked for, since we last looked.
+            # The server has closed it or sent excess bytes, which the event loop has not handled yet.
             metrics.upstream_connections_stale += 1
             connection.close(CloseReason.SERVER_STALE)
         return None
@@ -140,7 +140,7 @@
         return None
 
     def _open_or_share(self) -> UpstreamConnection | None:
-        """A new connection, now busy, or while descriptors run short the least loaded one with room."""
+        """Open a connection and mark it as busy; while descriptors are short, return one to be shared."""
         connection = self._open() if self._make_descriptor_available() else None
         if connection is None:
             return self._least_loaded_with_room()
@@ -148,14 +148,14 @@
         return connection
 
     def _make_descriptor_available(self) -> bool:
-        """Whether a connection may be opened, if need be in the place of an idle one of any pool."""
+        """Whether a connection may be opened; if necessary, an idle one of any pool is closed for it."""
         kept_for_clients = self.budget.limit // CLIENT_DESCRIPTOR_DIVISOR
         return self.budget.has_capacity(kept_for_clients) or self.budget.close_longest_idle()
 
     def _open(self) -> UpstreamConnection | None:
         try:
             return UpstreamConnection(self)
-        except OSError as error:  # the system has no descriptor left, whatever our count says
+        except OSError as error:  # the system may lack descriptors within the budget
             log_event("upstream_connect_failed", address=format_address(self.address), error=error)
             return None
 
--- a/lupinladder/net/discovery/endpoint_list_applier.py
+++ b/lupinladder/net/discovery/endpoint_list_applier.py
@@ -1,8 +1,8 @@
-"""Applies endpoint lists in steps, so that requests and timers have their turn while a long one is taken in.
+"""Applies endpoint lists in steps, so that requests and timers are served while a long list is applied.
 
-Who leaves goes first: a list is read to its end, what it says of known servers is applied (that they drain,
-are gone, have moved or started anew), and only then those that come are taken in, a few at a time. A list
-that arrives meanwhile is read before any more of them.
+Servers are retired before others are added: a list is read to its end, its changes of known servers are
+applied (draining, removed, moved and restarted ones), and only then its new servers are added, a few at a
+time. A list that is received meanwhile is read before further servers are added.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from lupinladder.net.log import log_event
 from lupinladder.net.metrics import metrics
 
-# For so long at most lists are worked on in one turn of the loop, and one step more.
+# Maximum time in ms that an event loop iteration spends on lists; its last step may exceed this.
 APPLY_TIME_MS = 6.0
-# What may have lain unread for so long is read to its end at once: whatever is sent before goes by the list
-# as it was, and the grace after a drain is running out.
+# A list that may have been unread for longer than this is read to its end at once: requests sent before that
+# follow the old list, and the grace period after a drain is running out.
 OVERDUE_MS = 200.0
-ENTRIES_PER_STEP = 16  # read, withdrawn or taken in
-_END = object()  # of the steps of a list
+ENTRIES_PER_STEP = 16  # entries that are read, or servers that are updated, removed or added
+_END = object()  # returned by next() when a list has no more steps
 
 
 @dataclass(slots=True)
 class ReceivedList:
-    """A list as a watch has received it."""
+    """An endpoint list that was received on a watch."""
 
     watch: EndpointWatch
     text: bytes
@@ -41,23 +41,23 @@
 
 @dataclass(slots=True)
 class _ListChanges:
-    """What a list changes in what is known, by server."""
+    """The differences between a received list and the known servers."""
 
     header: ListHeader
-    entry_count: int  # of the whole list
-    changed: dict[ServerId, ListedEndpoint | None]  # None: a whole list does not name it any more
+    entry_count: int  # all entries of the list, changed or not
+    changed: dict[ServerId, ListedEndpoint | None]  # None: missing from a snapshot
 
 
 @dataclass(slots=True)
 class _Arrival:
-    """A server that is to be taken in."""
+    """A server that has still to be added."""
 
     listed: ListedEndpoint
-    is_live: bool  # the list has been followed without a gap until this was told
+    is_live: bool  # the list had been followed without a gap when the server was listed
 
 
 class EndpointListApplier:
-    """Takes lists in, in their order, and tells the balancer what each changes."""
+    """Applies lists in the order in which they are received, and notifies the balancer of the changes."""
 
     def __init__(
         self,
@@ -67,26 +67,26 @@
         notify: Callable[[EndpointUpdate], None],
         on_applied: Callable[[EndpointWatch], None],
     ) -> None:
-        """`on_applied` is called once nothing that a list withdraws is used any more."""
+        """`on_applied` is called once all servers that a list retires get no new requests."""
         self._loop = loop
         self._directory = directory
         self._parser = parser
         self._notify = notify
         self._on_applied = on_applied
         self.version = 0  # of the last list that was read
-        self.is_current = False  # the open watch has told something: the list is what discovery has
+        self.is_current = False  # the open watch has delivered a list, so this one matches discovery's
         self._received: deque[ReceivedList] = deque()
         self._steps: Iterator[None] | None = None  # of the list that is being read
         self._arrivals: dict[ServerId, _Arrival] = {}
         self._working = False
-        self._resuming = False  # work goes on at the end of this turn, or in the next one
-        self._turn_worked_in = -inf  # when the turn began in which the last list was taken in at once
+        self._resuming = False  # a call of `_resume` is scheduled
+        self._turn_worked_in = -inf  # start of the last iteration in which a list was applied on receipt
 
     def submit(self, received: ReceivedList) -> None:
-        """Take a list in: a short one at once, a long one in this turn of the loop and the next ones."""
+        """Apply a list: a short one at once, a long one over this event loop iteration and later ones."""
         self._received.append(received)
         if self._working:
-            return  # applying a list has brought up another one
+            return  # a step has received another list; the loop in `_work` will read it
         is_first_of_turn = self._turn_worked_in != self._loop.turn_began_at
         stop_at = self._loop.turn_began_at + APPLY_TIME_MS
         if is_first_of_turn or self._loop.now() < stop_at or self._is_overdue:
@@ -96,7 +96,7 @@
             self._work_on_later()
 
     def _work(self, stop_at: float) -> None:
-        """Take at least one step, and further ones until this time, or until an overdue list is read."""
+        """Run at least one step, and further ones until `stop_at`, or until an overdue list is read."""
         self._working = True
         try:
             while self._take_step():
@@ -122,12 +122,12 @@
         self._work(self._loop.now() + APPLY_TIME_MS)
 
     def _take_step(self) -> bool:
-        """Read on, or take a few servers in; false if nothing is left to do."""
+        """Read part of a list, or add a few servers; False if there is nothing to do."""
         if self._steps is None and self._received:
             self._steps = self._apply(self._received.popleft())
         if self._steps is not None:
             steps = self._steps
-            self._steps = None  # one that raises is not taken up again
+            self._steps = None  # a list whose step raises an exception is not resumed
             if next(steps, _END) is not _END:
                 self._steps = steps
             return True
@@ -137,7 +137,7 @@
         return False
 
     def _apply(self, received: ReceivedList) -> Iterator[None]:
-        """Read a list and apply what it says of known servers; steps end where this yields."""
+        """Read a list and apply its changes of known servers; each step ends with a yield."""
         began_at = self._loop.now()
         try:
             changes = yield from self._read(received.text)
@@ -147,12 +147,12 @@
         metrics.endpoint_updates += 1
         header = changes.header
         if not header.is_snapshot and header.version < self.version:
-            # Of two watches one may lag behind; the balancer passes it over.
+            # One of two watches may lag behind; the balancer ignores an outdated delta.
             self._notify(EndpointUpdate(EndpointUpdateKind.DELTA, header.version))
             return
         self.version = header.version
         kind = EndpointUpdateKind.DIFFERENCE if header.is_snapshot else EndpointUpdateKind.DELTA
-        # The list has been followed up to now, so what it names first has come to it lately.
+        # The list was followed without a gap, so a server that it names now for the first time is new to it.
         is_live = not header.is_snapshot and self.is_current
         told = yield from self._change_known(kind, changes, is_live)
         self._tell(kind, told + self._take_in_arrivals())
@@ -166,7 +166,7 @@
         self._on_applied(received.watch)
 
     def _read(self, text: bytes) -> Generator[None, None, _ListChanges]:
-        """Find out what a list changes. Raises ValueError if it is none."""
+        """Determine what a list changes, in steps. Raises ValueError if the text is not a valid list."""
         decoder = EndpointListDecoder(text)
         changed = dict[ServerId, ListedEndpoint | None]()
         named = set[ServerId]()
@@ -178,13 +178,13 @@
                 server = listed.endpoint.server
                 if listed.endpoint.state is not EndpointState.GONE:
                     named.add(server)
-                changed.pop(server, None)  # of two entries for one server the last counts
+                changed.pop(server, None)  # the last entry for a server counts
                 if server in self._arrivals or not self._directory.is_known(listed):
                     changed[server] = listed
             if count % ENTRIES_PER_STEP == 0:
                 yield
         header = self._parser.read_header(decoder.fields)
-        if header.is_snapshot:  # who is missing from a whole list is gone
+        if header.is_snapshot:  # a server that is missing from a snapshot is gone
             known = [*self._directory.servers(), *self._arrivals]
             changed |= dict.fromkeys(server for server in known if server not in named)
         return _ListChanges(header, count, changed)
@@ -192,8 +192,8 @@
     def _change_known(
         self, kind: EndpointUpdateKind, changes: _ListChanges, is_live: bool
     ) -> Generator[None, None, list[Endpoint]]:
-        """Apply what a list changes in servers that are known, and note who comes. Returns the last ones,
-        which are still to be told."""
+        """Apply a list's changes of known servers, in steps, and queue its new servers. Returns the last
+        changed endpoints, of which the balancer has still to be notified."""
         told = list[Endpoint]()
         for server, listed in changes.changed.items():
             self._arrivals.pop(server, None)
@@ -211,7 +211,7 @@
         return told
 
     def _take_in_arrivals(self) -> list[Endpoint]:
-        """Take in a few of those that come. Returns them as they are to be told."""
+        """Add a few of the queued servers. Returns their endpoints for the balancer."""
         taken = list[Endpoint]()
         while self._arrivals and len(taken) < ENTRIES_PER_STEP:
             _, arrival = self._arrivals.popitem()
--- a/lupinladder/net/discovery/endpoint_list_decoder.py
+++ b/lupinladder/net/discovery/endpoint_list_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the text of an endpoint list entry by entry, so that a long one can be read in steps. No I/O."""
+"""Decodes the JSON of an endpoint list entry by entry, so that a long one can be read in steps. No I/O."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class EndpointListDecoder:
-    """One JSON object, whose entries are given one after another; its other fields are kept."""
+    """Decodes one JSON object: yields its entries one after another, and keeps its other fields."""
 
     def __init__(self, text: bytes) -> None:
-        """Raises ValueError for what is not UTF-8."""
+        """Raises ValueError if the text is not UTF-8."""
         self._text = text.decode()
         self._position = 0
-        self.fields: dict[str, Any] = {}  # complete once all entries have been given
+        self.fields: dict[str, Any] = {}  # complete once all entries were yielded
 
     def entries(self) -> Iterator[object]:
-        """The entries in their order. Raises ValueError where the text is no object with a list of them."""
+        """Yield the entries in order. Raises ValueError if the text is not an object with a list of them."""
         self._expect("{")
         has_entries = False
         if self._peek() != "}":
@@ -39,7 +39,7 @@
                 self._expect(",")
         self._expect("}")
         if self._peek() or not has_entries:
-            self._fail("the end of an object with entries")
+            self._fail("the end of an object with a list of entries")
 
     def _array(self) -> Iterator[object]:
         self._expect("[")
@@ -52,12 +52,12 @@
         self._expect("]")
 
     def _value(self) -> Any:
-        """The JSON value that begins here."""
+        """Decode the JSON value at the current position."""
         self._skip_whitespace()
         try:
             value, self._position = _DECODER.raw_decode(self._text, self._position)
         except RecursionError:
-            self._fail("a value that is not nested too deep")
+            self._fail("a less deeply nested value")
         return value
 
     def _skip_whitespace(self) -> None:
@@ -66,7 +66,7 @@
             self._position = found.end()
 
     def _peek(self) -> str:
-        """The next character that is no white space; empty at the end."""
+        """The next character that is not white space; empty at the end."""
         self._skip_whitespace()
         return self._text[self._position : self._position + 1]
 
--- a/lupinladder/net/discovery/endpoint_parser.py
+++ b/lupinladder/net/discovery/endpoint_parser.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery writes them, read into the balancer's terms."""
+"""Parses endpoint lists of discovery into the balancer's endpoints."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lupinladder.net.metrics import metrics
 
 MAX_PORT = 65535
-MAX_START_TIME_MS = 1e15  # Unix time; it refuses numbers that are no time of day
+MAX_START_TIME_MS = 1e15  # Unix time; a larger number is not a plausible time
 ENDPOINT_STATES = {
     "active": EndpointState.READY,
     "leaving": EndpointState.DRAINING,
@@ -26,7 +26,7 @@
 
 
 class AddressError(LupinladderError, ValueError):
-    """A text that is not an address with a port."""
+    """A text is not an address with a port."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"{text!r} is not an address with a port")
@@ -34,7 +34,7 @@
 
 
 class EndpointError(LupinladderError, ValueError):
-    """An endpoint of a list that cannot be used."""
+    """An entry of an endpoint list cannot be used."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -43,17 +43,17 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """A list of endpoints as discovery tells it: all that there are, or those that have changed."""
+    """An endpoint list of discovery: a snapshot of all endpoints, or a delta of those that have changed."""
 
     version: int
-    is_snapshot: bool  # whether these are all endpoints
+    is_snapshot: bool
     endpoints: list[Endpoint]
-    addresses: dict[ServerId, Address]  # of each endpoint that has not left
+    addresses: dict[ServerId, Address]  # of each endpoint that is not gone
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """An endpoint of a list, and its address unless it has left. Its start is Unix time, as it was told."""
+    """An endpoint of a list, and its address unless it is gone. Its start is the listed Unix time."""
 
     endpoint: Endpoint
     address: Address | None
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class ListHeader:
-    """What a list tells beside its endpoints."""
+    """The fields of an endpoint list other than its endpoints."""
 
     version: int
-    is_snapshot: bool  # whether these are all endpoints
+    is_snapshot: bool  # whether the list contains all endpoints
 
 
 def parse_address(text: str) -> Address:
-    """A host with its port, `host:port`. Raises AddressError."""
+    """Parse a host with its port, `host:port`. Raises AddressError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise AddressError(text)
@@ -76,7 +76,8 @@
 
 
 def parse_ipv4_address(text: str) -> Address:
-    """An IPv4 address with its port. Raises AddressError, also for a name: a look-up would stop the loop."""
+    """Parse an IPv4 address with its port. Raises AddressError, also for a host name, since resolving one
+    would block the event loop."""
     address = parse_address(text)
     try:
         socket.inet_pton(socket.AF_INET, address[0])
@@ -86,14 +87,14 @@
 
 
 class EndpointParser:
-    """Reads endpoint lists of one deployment, which names its zones and its types of servers."""
+    """Parses the endpoint lists of one deployment, which has these zones and these types of servers."""
 
     def __init__(self, zones: Sequence[str], server_types: Sequence[str]) -> None:
         self._zones = zones
         self._server_types = server_types
 
     def read(self, tree: object) -> EndpointList:
-        """The list that a JSON tree tells. Raises ValueError if it is none."""
+        """Parse a list from a JSON tree. Raises ValueError if the tree is not a valid list."""
         header = self.read_header(tree)
         endpoints = list[Endpoint]()
         addresses = dict[ServerId, Address]()
@@ -107,18 +108,18 @@
         return EndpointList(header.version, header.is_snapshot, endpoints, addresses)
 
     def check(self, tree: object) -> None:
-        """Raise ValueError if a JSON tree tells no list. Its entries are not read: there may be thousands."""
+        """Raise ValueError if a JSON tree is not a list. The entries, maybe thousands, are not parsed."""
         self.read_header(tree)
         read_value(tree, ENTRIES_KEY, list)
 
     def read_header(self, tree: object) -> ListHeader:
-        """What a list tells beside its endpoints. Raises ValueError."""
+        """Parse the fields of a list other than its endpoints. Raises ValueError."""
         version = read_value(tree, "index", int)
         return ListHeader(version, read_value(tree, "snapshot", bool, False))
 
     def read_entry(self, item: object) -> ListedEndpoint | None:
-        """One endpoint of a list. None if it cannot be read, which is logged: it would otherwise hide every
-        other one and every drain."""
+        """Parse one entry of a list. An invalid entry is logged and gives None, because an error would hide
+        all other entries, drains included."""
         try:
             return self._read_endpoint(item)
         except ValueError as error:
@@ -127,10 +128,10 @@
             return None
 
     def _read_endpoint(self, item: Any) -> ListedEndpoint:
-        """One endpoint of a list. Raises ValueError.
+        """Parse one entry of a list. Raises ValueError.
 
-        Name and status are enough of one that drains or has left: if it were left out as unreadable, requests
-        would still be sent to it. A draining one counts as gone if the rest cannot be read.
+        The name and the status suffice for a draining or gone endpoint: if it were ignored as invalid,
+        requests would still be sent to it. With other fields invalid, a draining endpoint counts as gone.
         """
         server = read_value(item, "name", str).encode()
         state = ENDPOINT_STATES.get(read_value(item, "status", str))
@@ -150,7 +151,7 @@
         zone = read_value(item, "zone", str)
         server_type = read_value(item, "type", str)
         if state is None or zone not in self._zones or server_type not in self._server_types:
-            reason = "it is not of this deployment"
+            reason = "status, zone or type is unknown in this deployment"
             raise EndpointError(reason)
         address = parse_ipv4_address(read_value(item, "address", str))
         endpoint = Endpoint(
@@ -166,14 +167,14 @@
 
 
 def _read_start_time(item: Any) -> float:
-    """When a server last started, as Unix time in ms; 0 where nothing is told. Raises EndpointError.
+    """Parse when a server last started: Unix time in ms, 0 if it is not stated. Raises EndpointError.
 
-    It is not read by the settings' reader, whose bound on spans of time refuses a time of day: an endpoint
-    refused for that would be refused again on each new watch, for ever.
+    `read_value` is not used for it, because the upper limit of that function for durations is below current
+    Unix times: each endpoint with a start time would be refused, on each new watch.
     """
     start_time = item.get("since_ms", 0)
     is_number = isinstance(start_time, int | float) and not isinstance(start_time, bool)
     if not is_number or not 0 <= start_time < MAX_START_TIME_MS:
-        reason = f"since_ms is {start_time!r}"
+        reason = f"since_ms is not a valid time: {start_time!r}"
         raise EndpointError(reason)
     return float(start_time)
--- a/lupinladder/net/discovery/endpoint_registry.py
+++ b/lupinladder/net/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The list of endpoints as it is known, and the watch on discovery that keeps it."""
+"""The endpoint registry, which keeps the endpoint list up to date by a watch on discovery."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EndpointRegistry:
-    """Keeps the list of endpoints by a watch on discovery, and tells the balancer each change."""
+    """Keeps the endpoint list up to date by a watch on discovery, and notifies the balancer of changes."""
 
     def __init__(
         self,
@@ -38,34 +38,35 @@
         self._directory = ServerDirectory(loop, create_pool)
         self._lists = EndpointListApplier(loop, self._directory, parser, notify, self._on_list_applied)
         self._watch: EndpointWatch | None = None
-        self._previous_watch: EndpointWatch | None = None  # at the address before, until the new one speaks
+        self._previous_watch: EndpointWatch | None = None  # at the old address, until the new one delivers
 
     @property
     def index(self) -> int:
-        """The version of the list that is held."""
+        """The version of the current list."""
         return self._lists.version
 
     @property
     def is_current(self) -> bool:
-        """Whether the open watch has told something: the list is what discovery has."""
+        """Whether the open watch has delivered a list, so that the known list matches discovery's."""
         return self._lists.is_current
 
     def pool_for(self, server: ServerId) -> ConnectionPool | None:
-        """The connections to a server; None if it is not ready."""
+        """The connection pool of a server; None if the server is not ready."""
         return self._directory.pool_for(server)
 
     def address_of(self, server: ServerId) -> Address | None:
-        """The address of a server; None if it is not ready."""
+        """The address of a server; None if the server is not ready."""
         return self._directory.address_of(server)
 
     def listed_start(self, server: ServerId) -> float:
-        """When a server last started, as discovery lists it: Unix time in ms, 0 for long ago or unknown."""
+        """When a server last started according to discovery: Unix time in ms, 0 if long ago or unknown."""
         return self._directory.listed_start(server)
 
     def load_cached(self, tree: object) -> EndpointUpdate:
-        """Take the list that the configuration or the store knows; it may be out of date.
+        """Load the list of the configuration or the store, which may be out of date.
 
-        Raises ValueError if it is none. Called at the start, before anything waits for its turn.
+        Raises ValueError if it is not a valid list. The whole list is loaded at once: this is called at
+        startup, before the event loop has other work.
         """
         endpoint_list = self._parser.read(tree)
         self._lists.version = endpoint_list.version
@@ -80,7 +81,7 @@
         return self._directory.put(listed, is_live=False)
 
     def open_watch(self) -> None:
-        """Open the watch, unless one is open: each call is work for discovery."""
+        """Open the watch, unless one is open: each request for a watch is work for discovery."""
         if self._watch is not None:
             return
         try:
@@ -90,10 +91,10 @@
             self.on_watch_failed(str(error))
 
     def move_watch(self, discovery: Address) -> None:
-        """Watch the list at another address, from the version that is known.
+        """Watch the list at another address, starting from the current version.
 
-        The old watch stays open until the new one has told something, as what is still written on it counts
-        as told. Connections and requests are not touched.
+        The old watch stays open until the new one has delivered a list, because discovery counts updates that
+        it has written to the old watch as delivered. Connections and requests are not affected.
         """
         if discovery == self._discovery:
             return
@@ -104,7 +105,7 @@
         self.open_watch()
 
     def on_update(self, watch: EndpointWatch, text: bytes) -> None:
-        """A watch has told what changed, or the whole list; a text that is no list ends it."""
+        """Apply a delta or a snapshot that was received on a watch; an invalid text ends the watch."""
         self._lists.submit(ReceivedList(watch, text))
 
     def _on_list_applied(self, watch: EndpointWatch) -> None:
@@ -114,7 +115,7 @@
             self._close_previous_watch()
 
     def on_watch_failed(self, reason: str, watch: EndpointWatch | None = None) -> None:
-        """A watch has ended, or none could be opened; the balancer decides when to try again."""
+        """Notify the balancer that a watch has ended or could not be opened; it decides when to retry."""
         if watch is not None and watch is self._previous_watch:
             self._previous_watch = None
             return
@@ -127,6 +128,6 @@
     def _close_previous_watch(self) -> None:
         previous = self._previous_watch
         if previous is not None:
-            previous.read_available()  # what is written on it counts as told; it may also end the watch
+            previous.read_available()  # discovery counts unread updates as delivered; may end the watch
             self._previous_watch = None
             previous.close()
--- a/lupinladder/net/discovery/endpoint_watch.py
+++ b/lupinladder/net/discovery/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch: one long HTTP request, on whose response discovery writes each change of the list."""
+"""The watch: a long-lived HTTP request, to whose response discovery writes each change of the list."""
 
 from __future__ import annotations
 
@@ -11,32 +11,33 @@
 from lupinladder.net.event_loop import EventLoop, Timer, WatchRank
 from lupinladder.net.http import HttpError, HttpResponse, ResponseReader, encode_request
 
-# Time without a sign of life until a watch counts as dead; an empty line comes every 2 s. Whatever discovery
-# has to tell counts as told 6 s later, and asking again takes a wait and a call of up to 2 s.
+# Time without progress after which a watch counts as dead. Discovery sends an empty line every 2 s. Each
+# change counts as delivered after 6 s, and reopening the watch takes a wait and then a request of up to 2 s.
 WATCH_SILENCE_TIMEOUT_MS = 3200.0
-# Time for its connection to come up: one begun while discovery is cut off may never do so, and with the
-# longest wait and the call after it (3.2 s and 2 s) the list is asked for anew in time after its return.
+# Time limit for connecting: a connection attempt that starts while discovery is unreachable may never
+# succeed. Together with the longest wait and the request after it (3.2 s and 2 s), this limit still lets the
+# list be requested in time once discovery is reachable again.
 WATCH_CONNECT_TIMEOUT_MS = 1300.0
-# Of one JSON object: 3,200 entries with long names, indented, take over 1 MiB.
+# Maximum size of one JSON object: 3,200 entries with long names, indented, take over 1 MiB.
 MAX_ENDPOINT_LIST_BYTES = 4 << 20
 
-# So many bytes of one line are a sign of life though they complete nothing: a list of thousands of servers
-# may take longer to come than a silent watch is waited for, and one that trickles does not get so far.
+# Number of bytes of an incomplete line that count as progress: a list of thousands of servers may take longer
+# to arrive than the silence timeout, and a watch that only trickles does not reach this number in that time.
 SIGN_OF_LIFE_BYTES = 16 << 10
 
 
 class WatchListener(Protocol):
-    """Who is told what comes on a watch."""
+    """Receives the updates of a watch."""
 
     def on_update(self, watch: EndpointWatch, text: bytes) -> None:
-        """The text of a JSON object has come. If it is no endpoint list the watch has to be rejected."""
+        """The text of a JSON object was received. If it is not an endpoint list, call `watch.reject`."""
 
     def on_watch_failed(self, reason: str, watch: EndpointWatch | None = None) -> None:
-        """The watch has ended, and is closed."""
+        """The watch has ended and is closed."""
 
 
 class EndpointWatch:
-    """One request for changes from a version on, open until its connection ends or falls silent."""
+    """One request for the changes since a version, open until its connection ends or becomes silent."""
 
     def __init__(
         self,
@@ -46,14 +47,14 @@
         version: int,
         listener: WatchListener,
     ) -> None:
-        """Begin to connect. Raises OSError if the system has no socket left."""
+        """Start connecting. Raises OSError if the system has no socket available."""
         self._loop = loop
         self._listener = listener
         self._response_reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES)
         self._objects = JsonObjectStream(MAX_ENDPOINT_LIST_BYTES)
-        self._is_answered = False  # the headers of the response have come
-        self._searched = 0  # bytes of the body in which there is no end of a line
-        self._last_sign_at = 0  # length of a line that is still coming when it last was a sign of life
+        self._is_answered = False  # the headers of the response were received
+        self._searched = 0  # number of bytes of the body that contain no end of a line
+        self._last_sign_at = 0  # length of the incomplete line when it last counted as progress
         self._has_ended = False
         self._silence_timer: Timer | None = None
         self._connection = Connection.connect(loop, budget, address, self, WatchRank.ENDPOINT_LIST)
@@ -63,11 +64,11 @@
         self._silence_timer = loop.call_at(connect_by, self._on_connect_timeout)
 
     def read_available(self) -> None:
-        """Take in what discovery has written already: it counts as told."""
+        """Read what discovery has written already, because discovery counts it as delivered."""
         self._connection.read_available()
 
     def close(self) -> None:
-        """Close the watch; its listener is not told."""
+        """Close the watch without notifying its listener."""
         self._has_ended = True
         self._loop.cancel(self._silence_timer)
         self._connection.close()
@@ -75,21 +76,21 @@
     # The connection calls the methods below; see `ConnectionHandler`.
 
     def on_connected(self) -> None:
-        """The request, which is queued already, is written now."""
+        """Start the silence timeout: the queued request is written now."""
         self._restart_silence_timer()
 
     def _on_connect_timeout(self) -> None:
-        self._end("the connection did not come up")
+        self._end("the connection was not established in time")
 
     def on_written(self) -> None:
-        """Nothing to do: the request is all that is written."""
+        """Do nothing: only the request is written."""
 
     def may_write(self) -> bool:
-        """The request may be written late."""
+        """Return True: the request may be written late."""
         return True
 
     def on_data(self) -> None:
-        """Bytes have come: tell what they complete, then end the watch if they end or spoil it."""
+        """Handle received bytes, and end the watch if its response is complete or invalid."""
         end_reason: str | None = None
         while len(self._connection.inbox) and end_reason is None:
             end_reason = self._handle_bytes(self._connection.inbox.read(len(self._connection.inbox)))
@@ -97,22 +98,22 @@
             self._end(end_reason)
 
     def on_closed(self, by_peer: bool) -> None:
-        """The connection broke or could not be made, or discovery has ended it."""
-        self._end("the watch was closed" if by_peer else "the connection broke or never came up")
+        """The connection has failed or could not be established, or discovery has closed it."""
+        self._end("discovery closed the connection" if by_peer else "the connection failed")
 
     def _handle_bytes(self, data: bytes) -> str | None:
-        """Tell what these bytes complete; the reason if the watch has to end after them."""
+        """Pass on the objects that these bytes complete. Returns the reason if the watch has to end."""
         end_reason: str | None = None
         completed = list[HttpResponse]()
         try:
             completed = self._response_reader.feed(data)
-        except HttpError as error:  # the lines that came before the bad bytes are told all the same
-            end_reason = f"bad answer: {error}"
+        except HttpError as error:  # complete lines before the invalid bytes are still handled
+            end_reason = f"invalid response: {error}"
         if completed:
-            end_reason = "the watch was ended"
+            end_reason = "discovery ended the response"
         response = completed[0] if completed else self._response_reader.current
         if response.status not in (0, HTTPStatus.OK):
-            return f"answered {response.status}"
+            return f"response status {response.status}"
         if response.status and not self._is_answered:
             self._is_answered = True
             self._restart_silence_timer()
@@ -120,8 +121,8 @@
         return end_reason
 
     def _handle_lines(self, body: bytearray) -> None:
-        """Take the whole lines off the body and tell the objects on them. A line that is still coming is not
-        looked through again: it may be long, and come in many pieces."""
+        """Remove the complete lines from the body and pass on their objects. An incomplete line is not
+        searched again, because it may be long and arrive in many pieces."""
         end = body.rfind(b"\n", min(self._searched, len(body)))
         if end < 0:
             if len(body) - self._last_sign_at >= SIGN_OF_LIFE_BYTES:
@@ -136,35 +137,36 @@
         for line in lines:
             texts = self._objects.feed_line(line)
             if not self._connection.is_open:
-                return  # what was told before has closed this watch
+                return  # the listener has closed this watch
             if texts or self._objects.is_idle:
                 self._restart_silence_timer()
             for text in texts:
                 self._listener.on_update(self, text)
 
     def _restart_silence_timer(self) -> None:
-        """A sign of life: the request begins, is answered, or a whole object or an empty line has come.
+        """Restart the silence timeout after progress: the request is written or answered, an object is
+        complete, an empty line was received, or enough bytes of an incomplete line were.
 
-        Few bytes that complete nothing are none, or a watch that trickles would never count as silent.
+        Fewer bytes are not progress, as otherwise a watch that only trickles would never count as silent.
         """
         self._loop.cancel(self._silence_timer)
         silent_at = self._loop.now() + WATCH_SILENCE_TIMEOUT_MS
         self._silence_timer = self._loop.call_at(silent_at, self._on_silence)
 
     def _on_silence(self) -> None:
-        """Nothing has come for too long.
+        """End the watch, unless unread bytes restart the silence timeout.
 
-        If it was this process that stood still, what discovery wrote meanwhile is unread: it counts as told,
-        and closing the connection on it would lose it.
+        If this process was stalled, updates may be unread. Discovery counts them as delivered, so they would
+        be lost if the connection were closed now.
         """
         self._silence_timer = None
         self._connection.read_available()
         if self._silence_timer is None and self._connection.is_open:
-            self._end("the watch is silent")
+            self._end("no progress before the silence timeout")
 
     def reject(self, reason: str) -> None:
-        """End the watch, as what it has told is no endpoint list."""
-        self._end(f"bad answer: {reason}")
+        """End the watch, because an update is not a valid endpoint list."""
+        self._end(f"invalid response: {reason}")
 
     def _end(self, reason: str) -> None:
         if self._has_ended:
--- a/lupinladder/net/discovery/json_object_stream.py
+++ b/lupinladder/net/discovery/json_object_stream.py
@@ -1,4 +1,4 @@
-"""The texts of JSON objects off the lines of a stream: one a line, or indented over several."""
+"""Splits a stream of lines into the texts of JSON objects, each on one line or indented over several."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class JsonObjectStream:
-    """Joins lines into the texts of JSON objects, which it does not decode: a long one takes a while.
+    """Joins lines into the texts of JSON objects without decoding them, since decoding a long one takes time.
 
-    A line that is no object by itself is taken for the first of several; the count of its open brackets then
-    tells where the object ends.
+    A line that is not a complete object is taken as the first line of one, which ends where all its brackets
+    are closed.
     """
 
     def __init__(self, max_object_bytes: int) -> None:
         self._max_object_bytes = max_object_bytes
-        self._pending = bytearray()  # the lines of an object that has begun
-        self._depth = 0  # brackets that are open in it
+        self._pending = bytearray()  # the lines of an incomplete object
+        self._depth = 0  # the number of its open brackets
 
     @property
     def is_idle(self) -> bool:
-        """Whether no object has begun."""
+        """Whether there is no incomplete object."""
         return not self._pending
 
     def feed_line(self, line: bytes) -> list[bytes]:
-        """The text of the object that this line completes, if it does. The line comes without its end.
+        """Return the text of the object that this line completes, if any. The line has no line end.
 
-        Lines that are not JSON come out as a text that cannot be decoded, and so does what is longer than
-        the bound.
+        Lines that are not JSON, and objects above the maximum size, are returned as a text that cannot be
+        decoded.
         """
         if self.is_idle:
             if not line or line.isspace():
@@ -47,8 +47,8 @@
 
 
 def _looks_whole(line: bytes) -> bool:
-    """Whether a line is an object by itself, as its brackets tell. Those in strings are counted as well: then
-    a line may have to be looked at more closely, which takes longer."""
+    """Whether a line is a complete object, by the number of its brackets. Brackets in strings are counted as
+    well, which can only make a complete line take the slower path."""
     text = line.strip()
     if not (text.startswith(b"{") and text.endswith(b"}")):
         return False
@@ -56,7 +56,7 @@
 
 
 def _count_open_brackets(line: bytes) -> int:
-    """How many brackets the line opens and does not close; strings in it are passed over."""
+    """The number of brackets that the line opens minus those that it closes, strings ignored."""
     if not any(bracket in line for bracket in _BRACKETS):
         return 0
     structure = _STRING.sub(b"", line) if b'"' in line else line
--- a/lupinladder/net/discovery/server_directory.py
+++ b/lupinladder/net/discovery/server_directory.py
@@ -1,4 +1,4 @@
-"""The servers that are listed, their addresses, and a pool of connections for each that is sent to."""
+"""The listed servers, their addresses, and a connection pool for each server in use."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class _DirectoryEntry:
-    """A listed server: as it was told, and its pool once something was sent to it."""
+    """A server as it is listed, and its connection pool once that was needed."""
 
     listed: ListedEndpoint
     pool: ConnectionPool | None = None
 
 
 class ServerDirectory:
-    """Listed servers by id, those that drain included.
+    """Listed servers by id, draining ones included.
 
-    A pool is made when it is first asked for: of thousands of servers a proxy sends to a few in a second.
+    A pool is created on first use: within a second a proxy sends requests to a few of thousands of servers.
     """
 
     def __init__(self, loop: EventLoop, create_pool: PoolFactory) -> None:
@@ -38,7 +38,7 @@
         self._start_times = StartTimes(loop.wall_clock)
 
     def pool_for(self, server: ServerId) -> ConnectionPool | None:
-        """The connections to a server; None if it is not ready."""
+        """The connection pool of a server; None if the server is not ready."""
         entry = self._entries.get(server)
         if entry is None or not _is_ready(entry.listed):
             return None
@@ -48,16 +48,16 @@
         return entry.pool
 
     def address_of(self, server: ServerId) -> Address | None:
-        """The address of a server; None if it is not ready."""
+        """The address of a server; None if the server is not ready."""
         entry = self._entries.get(server)
         return entry.listed.address if entry is not None and _is_ready(entry.listed) else None
 
     def listed_start(self, server: ServerId) -> float:
-        """When a server last started, as discovery lists it: Unix time in ms, 0 for long ago or unknown."""
+        """When a server last started according to discovery: Unix time in ms, 0 if long ago or unknown."""
         return self._start_times.listed(server)
 
     def servers(self) -> Iterable[ServerId]:
-        """The servers that are listed."""
+        """The ids of the listed servers."""
         return self._entries.keys()
 
     def knows(self, server: ServerId) -> bool:
@@ -65,15 +65,15 @@
         return server in self._entries
 
     def is_known(self, listed: ListedEndpoint) -> bool:
-        """Whether a list tells nothing new of this endpoint."""
+        """Whether this endpoint of a list changes nothing."""
         entry = self._entries.get(listed.endpoint.server)
         if entry is None:
             return listed.endpoint.state is EndpointState.GONE
         return entry.listed == listed
 
     def withdraw(self, server: ServerId, state: EndpointState = EndpointState.GONE) -> None:
-        """Send nothing more to a server that the list tells to be in this state: what is in flight finishes,
-        idle connections are useless."""
+        """Remove a server, which is now in this state. It gets no new requests, its attempts in flight may
+        finish, and its idle connections are closed."""
         entry = self._entries.pop(server, None)
         if entry is None:
             return
@@ -82,10 +82,10 @@
             entry.pool.retire()
 
     def put(self, listed: ListedEndpoint, is_live: bool) -> Endpoint:
-        """Take in an endpoint that has not left. Returns it as the balancer reads it: with its start on the
-        loop's clock.
+        """Add or update an endpoint that is not gone. Returns it for the balancer, with its start on the
+        clock of the event loop.
 
-        `is_live`: the list has been followed without a gap until this was told.
+        `is_live`: the list had been followed without a gap when the endpoint was received.
         """
         endpoint = listed.endpoint
         entry = self._entries.get(endpoint.server)
@@ -113,7 +113,7 @@
 
 
 def _same_process(known: ListedEndpoint, listed: ListedEndpoint) -> bool:
-    """Whether connections to the known one lead to the listed one, and may be used on."""
+    """Whether connections to the known endpoint lead to the same process as listed, and stay usable."""
     if not (_is_ready(known) and _is_ready(listed)) or known.address != listed.address:
         return False
     return known.endpoint.started_at == listed.endpoint.started_at
--- a/lupinladder/net/discovery/start_times.py
+++ b/lupinladder/net/discovery/start_times.py
@@ -1,8 +1,8 @@
-"""When the listed servers started, on the loop's clock. No I/O.
+"""Start times of the listed servers, on the clock of the event loop. No I/O.
 
-Each start is converted once, when it is first told, and the same listed start keeps its time: another one
-tells that the server has started anew. A server that counts as warm too soon is sent more than it can do, so
-of what a start may mean the latest is taken, and one that the list itself contradicts is not believed.
+Each listed start is converted once, when it is first received, and keeps the result; a different one means
+that the server has restarted. A server that counts as warmed up too early gets more load than it can handle.
+So the latest possible meaning of a start is used, and a start that contradicts the list itself is ignored.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 from lupinladder.balancing.settings import ServerId
 from lupinladder.net.wall_clock import WallClock
 
-# The list names a server at the latest so long after its start while it can be followed: it lags by seconds,
-# on bad days by some ten more.
+# Maximum time in ms from a server's start until a list that is followed without a gap names it. The list lags
+# by seconds, occasionally by some ten seconds more.
 MAX_LIST_LAG_MS = 45_000.0
-MAX_REMEMBERED = 10_000  # starts, of servers that have left the list as well: three times the largest fleet
+MAX_REMEMBERED = 10_000  # starts, also of removed servers: three times the size of the largest fleet
 
 
 class _StartTime(NamedTuple):
-    """When a server last started: as it is listed, and as that was understood when it was first told."""
+    """When a server last started: as listed, and as converted when that was first received."""
 
-    listed: float  # Unix time in ms, by the wall clock as it was then; 0: long ago
+    listed: float  # Unix time in ms, by the wall clock at that time; 0: long ago
     on_loop_clock: float  # ms; 0: long ago
 
 
 class StartTimes:
-    """The starts that were told. Times are ms."""
+    """The starts that were received from discovery. Times are in ms."""
 
     def __init__(self, wall_clock: WallClock) -> None:
         self._wall_clock = wall_clock
-        self._by_server: dict[ServerId, _StartTime] = {}  # the one that was told last at the end
+        self._by_server: dict[ServerId, _StartTime] = {}  # the most recently received one last
 
     def listed(self, server: ServerId) -> float:
-        """When a server last started, as it was listed: Unix time, 0 for long ago or unknown."""
+        """When a server last started, as listed: Unix time, 0 if long ago or unknown."""
         known = self._by_server.get(server)
         return known.listed if known is not None else 0.0
 
     def convert(self, server: ServerId, listed: float, now: float, is_live: bool) -> float:
-        """When a server started that is listed with this start, on the loop's clock; 0 for long ago.
+        """Convert a server's listed start to the clock of the event loop; 0 if long ago.
 
-        `is_live`: the list has been followed without a gap until this was told.
+        `is_live`: the list had been followed without a gap when the start was received.
         """
         known = self._by_server.get(server)
         if known is not None and known.listed == listed:
--- a/lupinladder/net/origin_protocol.py
+++ b/lupinladder/net/origin_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP as the origin speaks it: objects are read with GET and written with PUT."""
+"""HTTP as the origin uses it: objects are read with GET and written with PUT."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lupinladder.net.upstream_reply import MAX_REPLY_VALUE_BYTES, UpstreamReply, parse_load_report
 
 LOAD_REPORT_HEADER = "x-pressure"
-REJECTED_HEADER = "x-turned-away"  # with the value 1: the request has not run
+REJECTED_HEADER = "x-turned-away"  # the value 1 means that the request has not run
 REJECTING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
@@ -28,15 +28,15 @@
         self.closes_connection = False
         self._report_fields = report_fields
         self._response_reader = ResponseReader(MAX_REPLY_VALUE_BYTES)
-        self._responses: deque[HttpResponse] = deque()  # whole ones that were not taken yet
+        self._responses: deque[HttpResponse] = deque()  # complete ones that were not returned yet
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte has come since the reply that was taken last."""
+        """Whether no byte of another reply was read since the last reply that was returned."""
         return self._response_reader.is_idle and not self._responses
 
     def next_reply(self, inbox: RingBuffer) -> UpstreamReply | None:
-        """Take the next reply off the inbox; None while it is not whole.
+        """Remove the next reply from the inbox and return it; None while it is incomplete.
 
         Raises UpstreamProtocolError for bytes that are not HTTP.
         """
@@ -52,7 +52,7 @@
         return self._read(response)
 
     def reply_at_close(self) -> UpstreamReply | None:
-        """The reply whose length only the orderly end of the connection tells, if one has begun."""
+        """Return the reply, if any, that states no length and is completed by an orderly close."""
         response = self._response_reader.finish()
         return None if response is None else self._read(response)
 
@@ -60,7 +60,7 @@
         load = parse_load_report(response.headers.get(LOAD_REPORT_HEADER), self._report_fields)
         if response.status == HTTPStatus.OK:
             return UpstreamReply(Outcome.OK, bytes(response.body), load=load)
-        # Only this header proves that the request never ran; after any other failure it may have.
+        # Only this header proves that the request has not run; after any other failure it may have run.
         if response.status in REJECTING_STATUSES and response.headers.get(REJECTED_HEADER) == b"1":
             return UpstreamReply(Outcome.REJECTED, load=load)
         if response.status != HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -70,15 +70,15 @@
 
 
 class OriginProtocol:
-    """HTTP as the origin at one address speaks it."""
+    """HTTP as the origin at one address uses it."""
 
     def __init__(self, address: Address, report_fields: Sequence[str]) -> None:
-        """`report_fields` are the names of the figures in a load report, as in the settings."""
+        """`report_fields` are the names of the fields in a load report, as in the settings."""
         self._host = format_address(address)
         self._report_fields = report_fields
 
     def encode(self, command: ClientCommand, timeout_ms: float) -> bytes:
-        """A GET or PUT of the command's key, with the time that the proxy waits in the labels."""
+        """Encode a GET or PUT of the command's key; the deadline in its labels is `timeout_ms`."""
         _, key, request_id, *_ = command.arguments
         path = "/" + key.decode("latin-1")
         headers = {"X-Txn": request_id, "X-Labels": command.labels_with_deadline(timeout_ms)}
@@ -87,5 +87,5 @@
         return encode_request("GET", path, self._host, headers, None)
 
     def create_reader(self) -> OriginReplyReader:
-        """The reader for the replies on a new connection."""
+        """Create the reader for the replies on a new connection."""
         return OriginReplyReader(self._report_fields)
--- a/lupinladder/net/reuse_policy.py
+++ b/lupinladder/net/reuse_policy.py
@@ -1,31 +1,34 @@
-"""How long a connection to a server rests between a reply and the next request on it. No I/O.
+"""Delays the reuse of connections to servers while servers send excess bytes. No I/O.
 
-Some servers send a second copy of a reply, or noise, some milliseconds after it (standing test, join). RESP
-and HTTP/1.1 name no request in a reply, so a copy that comes when the next request is out cannot be told from
-its reply, and a client would be served what was not made for it. Sound servers cost no rest: it begins with
-the first bytes that nothing asked for, from any server, and ends a while after the last ones.
+Some servers send a second copy of a reply, or noise, some milliseconds after the reply (standing test, join).
+In RESP and HTTP/1.1 a reply does not identify its request. A copy that arrives while the next request is in
+flight would be taken for its reply, and the client would get the value of another request. Correct servers
+cause no delay: it starts with the first excess bytes from any server, and ends some time after the last ones.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-REST_MS = 25.0  # several times the delay of a late copy
-MEMORY_MS = 60_000.0  # for which servers count as ones that do so
+REST_MS = 25.0  # minimum idle time before reuse: several times the delay of a second copy
+MEMORY_MS = 60_000.0  # time after the last excess bytes during which reuse is delayed
 
 
 class ReusePolicy:
-    """What has been seen of all servers, and the rest that follows. Times are ms on the loop's clock."""
+    """Decides whether a connection may be reused, by the excess bytes that any server has sent.
+
+    Times are in ms on the clock of the event loop.
+    """
 
     def __init__(self) -> None:
         self._excess_seen_at = -inf
 
     def record_excess(self, now: float) -> None:
-        """Bytes have come that nothing asked for."""
+        """Record that a server has sent bytes that belong to no request."""
         self._excess_seen_at = now
 
     def may_reuse(self, idle_since: float, now: float) -> bool:
-        """Whether a connection that has had its last reply at `idle_since` may carry a request now."""
+        """Whether a connection that received its last reply at `idle_since` may carry a request at `now`."""
         if now - self._excess_seen_at > MEMORY_MS:
             return True
         return now - idle_since >= REST_MS
--- a/lupinladder/net/upstream_connection.py
+++ b/lupinladder/net/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server and the attempts on it, from their assignment to their outcome."""
+"""One connection to a server, and its attempts from assignment to outcome."""
 
 from __future__ import annotations
 
@@ -24,48 +24,49 @@
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt that was handed to the connection and whose reply is still to come."""
+    """An attempt whose command was passed to the socket and whose reply was not received yet."""
 
-    attempt: Attempt | None  # None: abandoned; its reply is read all the same, as replies come in order
+    attempt: Attempt | None  # None: abandoned; its reply must still be read, as replies come in order
     end_offset: int  # bytes queued on the connection up to the attempt's last one
     begun_at: float  # when its first byte was written, in ms
 
 
 class UpstreamConnection:
-    """A connection of a pool, with the attempts on it in the order in which they are written.
+    """A connection of a pool, with its attempts in the order in which they are written.
 
-    It holds what is not written yet, and asks at the moment of writing whether that may still start.
+    It queues attempts that are not written yet, and checks each one when it is written whether it may still
+    be sent.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Begin to connect. Raises OSError if the system has no socket left."""
+        """Start connecting. Raises OSError if the system has no socket available."""
         self._pool = pool
-        self.unsent: deque[Attempt] = deque()  # until the connection is up and all before them is written
+        self.unsent: deque[Attempt] = deque()  # until connected and all before them are written
         self.in_flight: deque[InFlightAttempt] = deque()
         self.reader = pool.protocol.create_reader()
         self.idle_timer: Timer | None = None
         self._is_closed = False
-        self.idle_since = 0.0  # when it had its last reply, in ms
+        self.idle_since = 0.0  # when its last reply was received, in ms
         self.connection = Connection.connect(pool.loop, pool.budget, pool.address, self)
         metrics.upstream_connections_opened += 1
         connect_by = pool.loop.now() + pool.connect_timeout_ms
         self._connect_timer: Timer | None = pool.loop.call_at(connect_by, self._on_connect_timeout)
-        self._write_timer: Timer | None = None  # of a command that is written in part
+        self._write_timer: Timer | None = None  # for a partly written command
 
     @property
     def attempt_count(self) -> int:
-        """How many attempts are on the connection, written or not."""
+        """The number of attempts on the connection, written or not."""
         return len(self.unsent) + len(self.in_flight)
 
     def assign(self, attempt: Attempt) -> None:
-        """Write an attempt as soon as all that were assigned before it are written."""
+        """Write an attempt as soon as all attempts that were assigned before it are written."""
         self.unsent.append(attempt)
         self._write()
 
     def abandon(self, attempt: Attempt) -> bool:
         """Stop waiting for an attempt; False if it is not on this connection.
 
-        The connection is closed, which tells the server, unless other attempts wait on it.
+        Unless other attempts wait on the connection, it is closed, which informs the server.
         """
         if not self._forget(attempt):
             return False
@@ -74,9 +75,10 @@
         return True
 
     def cut_off(self, attempt: Attempt) -> bool:
-        """The request of an attempt is finished: close the connection if a part of it is still to be written.
+        """Close the connection if an attempt is only partly written, as its request is finished.
 
-        False if the attempt is not on this connection. One of which nothing is written yet is refused later.
+        False if the attempt is not on this connection. An attempt that is not written at all is refused when
+        it is due to be written.
         """
         for entry in self.in_flight:
             if entry.attempt is attempt:
@@ -86,7 +88,7 @@
         return attempt in self.unsent
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection and end its attempts: one has run only if its last byte was written."""
+        """Close the connection and end its attempts: one may have run only if its last byte was written."""
         if not self._is_closed:
             metrics.connections_closed[reason] += 1
         self._is_closed = True
@@ -112,13 +114,13 @@
     # The connection calls the methods below; see `ConnectionHandler`.
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """The connection is established: write the queued attempts."""
         self._pool.loop.cancel(self._connect_timer)
         self._connect_timer = None
         self._write()
 
     def on_data(self) -> None:
-        """Bytes have come: end the attempts whose replies are whole."""
+        """Bytes were received: end the attempts whose replies are complete."""
         while self.connection.is_open and self.in_flight:
             try:
                 reply = self.reader.next_reply(self.connection.inbox)
@@ -132,16 +134,16 @@
             self._check_for_excess_bytes()
 
     def on_written(self) -> None:
-        """The system has taken bytes that were queued."""
+        """Queued bytes were written: continue with the queued attempts."""
         if self.unsent:
             self._write()
 
     def may_write(self) -> bool:
-        """Whether bytes that are queued may still be written: the rest of the command that is written in part
-        may have to be given up."""
+        """Whether queued bytes may still be written. If the rest of a partly written command must not be, the
+        connection is closed."""
         partial = next((one for one in self.in_flight if self.connection.bytes_sent < one.end_offset), None)
         if partial is None or partial.attempt is None:
-            return True  # abandoned ones are counted as run, and others wait behind them
+            return True  # an abandoned attempt counts as run, and others may wait behind it
         refusal = refuse_more(partial.attempt, partial.begun_at, self._pool.loop.now())
         if refusal is None:
             return True
@@ -149,7 +151,7 @@
         return False
 
     def on_closed(self, by_peer: bool) -> None:
-        """The connection broke, or the server ended it in order, which may complete a reply."""
+        """The connection has failed, or the server has closed it in order, which may complete a reply."""
         reply: UpstreamReply | None = None
         attempt: Attempt | None = None
         if by_peer and self.in_flight:
@@ -165,7 +167,7 @@
             self.close(CloseReason.SERVER_CONNECT_TIMEOUT)
 
     def _write(self) -> None:
-        """Write the attempts that may still start, one after another, as the system takes the bytes."""
+        """Write the attempts that may still be sent, one by one, while the system accepts the bytes."""
         expired = list[Attempt]()
         while self.unsent and not self.connection.connecting and not len(self.connection.outbox):
             attempt = self.unsent.popleft()
@@ -176,7 +178,7 @@
         if not self.attempt_count and not self.connection.connecting:
             self._pool.mark_idle(self)
         metrics.attempts_never_started += len(expired)
-        for attempt in expired:  # last of all, as whoever is told may call this connection again
+        for attempt in expired:  # last, as ending an attempt may call this connection again
             attempt.end(Outcome.CONNECT_FAILED)
 
     def _send(self, attempt: Attempt) -> None:
@@ -192,12 +194,12 @@
             self._write_timer = self._pool.loop.call_at(write_by(attempt, now), self.may_write)
 
     def _refuse_rest(self, refusal: SendRefusal) -> None:
-        """Close the connection on a command that is written in part: it never runs."""
+        """Close the connection during a partly written command, which therefore never runs."""
         metrics.sends_refused[refusal] += 1
         self.close(CloseReason.SERVER_HALF_WRITTEN)
 
     def _complete_oldest(self, reply: UpstreamReply) -> None:
-        """End the oldest attempt in flight. The connection is settled first, as the caller may use it."""
+        """End the oldest attempt in flight. The connection is released first, to be reusable at once."""
         attempt = self.in_flight.popleft().attempt
         if self.reader.closes_connection:
             self.close(CloseReason.SERVER_LAST_REPLY)
@@ -207,14 +209,14 @@
             _end_with_reply(attempt, reply)
 
     def _check_for_excess_bytes(self) -> bool:
-        """Whether the connection is usable; it is aborted if bytes came behind the last expected reply.
+        """Whether the connection is usable; it is closed if bytes follow the last expected reply.
 
-        A second copy of the reply, or noise, would be taken for the reply to whatever is written next. If
-        the outbox still holds bytes, the reply came before its request was written.
+        A second copy of the reply, or noise, would be taken for the reply to the next request. If the outbox
+        still holds bytes, the reply came before its request was written completely.
         """
         if len(self.connection.inbox) or not self.reader.is_idle or len(self.connection.outbox):
             self._pool.reuse_policy.record_excess(self._pool.loop.now())
-            self._abort_as_invalid("bytes that nothing asked for")
+            self._abort_as_invalid("bytes that belong to no request")
         return self.connection.is_open
 
     def _abort_as_invalid(self, reason: str) -> None:
@@ -223,7 +225,7 @@
         self.close(CloseReason.SERVER_INVALID_REPLY)
 
     def _forget(self, attempt: Attempt) -> bool:
-        """Drop an attempt that is not written, or mark it as abandoned; False if it is not here."""
+        """Remove an unsent attempt, or mark one in flight as abandoned; False if it is not found."""
         for entry in self.in_flight:
             if entry.attempt is attempt:
                 entry.attempt = None
--- a/lupinladder/net/upstream_protocol.py
+++ b/lupinladder/net/upstream_protocol.py
@@ -1,4 +1,4 @@
-"""The interface between the connections to a server and the protocol that the server speaks."""
+"""The interface between the connections to a server and the protocol of that server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UpstreamProtocolError(LupinladderError):
-    """A reply that does not follow the protocol. Its connection cannot be used any more."""
+    """A reply does not follow the protocol. Its connection cannot be used any more."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -19,30 +19,30 @@
 
 
 class ReplyReader(Protocol):
-    """Takes the replies off the bytes of one connection, in order."""
+    """Reads the replies on one connection, in order."""
 
     closes_connection: bool
-    """Whether the server ends the connection after the reply that was taken last."""
+    """Whether the server closes the connection after the last reply that was returned."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte has come since the reply that was taken last."""
+        """Whether no byte of another reply was read since the last reply that was returned."""
 
     def next_reply(self, inbox: RingBuffer) -> UpstreamReply | None:
-        """Take the next reply off the inbox; None while it is not whole.
+        """Remove the next reply from the inbox and return it; None while it is incomplete.
 
-        Raises UpstreamProtocolError or resp.FramingError for bytes that are no reply.
+        Raises UpstreamProtocolError or resp.FramingError for bytes that are not a valid reply.
         """
 
     def reply_at_close(self) -> UpstreamReply | None:
-        """The reply that an orderly end of the connection completes, if there is one."""
+        """Return the reply, if any, that is completed by an orderly close of the connection."""
 
 
 class UpstreamProtocol(Protocol):
-    """A protocol that servers speak: it encodes requests and makes a reader for each connection."""
+    """A protocol of servers: it encodes requests and creates a reader for each connection."""
 
     def encode(self, command: ClientCommand, timeout_ms: float) -> bytes:
-        """The request as it is written; the server is told that the proxy waits for `timeout_ms`."""
+        """Encode a request; its deadline for the server is `timeout_ms`, the time that the proxy waits."""
 
     def create_reader(self) -> ReplyReader:
-        """The reader for the replies on a new connection."""
+        """Create the reader for the replies on a new connection."""
--- a/lupinladder/net/upstream_reply.py
+++ b/lupinladder/net/upstream_reply.py
@@ -1,4 +1,4 @@
-"""What an attempt at a server resulted in, in the terms of the decision module, and load reports."""
+"""The result of an attempt at a server, in the terms of the decision module, and load reports."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from lupinladder.balancing.events import CacheResult, Outcome
 
-# Of a value in a reply. Days of service have shown good values of 400 KB and corrupt ones declared as 3 GB.
+# Of a value in a reply. In service, valid values of 400 KB and corrupt ones declared as 3 GB were observed.
 MAX_REPLY_VALUE_BYTES = 1 << 20
 CACHE_RESULTS = {
     b"hit": CacheResult.HIT,
     b"miss": CacheResult.MISS,
     b"pending": CacheResult.MISS_PENDING,
 }
-# The names of fields in load reports, by the names that the settings use, which are the simulator's.
+# Names of fields in load reports, by their names in the settings, which are the simulator's.
 REPORT_FIELD_ALIASES = {
     "fail_rate": "eps",
     "lat_ms": "latency_ms",
@@ -29,19 +29,19 @@
 
 @dataclass(slots=True)
 class UpstreamReply:
-    """What an attempt resulted in."""
+    """The result of an attempt."""
 
     outcome: Outcome
     value: bytes | None = None
     cache_result: CacheResult = CacheResult.NONE
-    load: tuple[float, ...] = ()  # in the order of the settings' `report_fields`; empty without a report
+    load: tuple[float, ...] = ()  # in the order of the settings' `report_fields`; empty without a load report
 
 
 def parse_load_report(text: bytes | None, fields: Sequence[str]) -> tuple[float, ...]:
-    """Read a load report (`name=number,...`) in the order of the settings' fields.
+    """Parse a load report (`name=number,...`). Returns its numbers in the order of the settings' fields.
 
-    The result is empty if any field is missing or no number: the reply that carries the report is valid all
-    the same. float() alone would also accept nan, inf and numbers below 0.
+    The result is empty if a field is missing or not a number; the reply that carries the report is still
+    valid. Numbers are checked by a pattern, as float() alone would also accept nan, inf and negative ones.
     """
     numbers: dict[str, float] = {}
     for pair in (text or b"").decode("latin-1").split(","):
--- a/tests/net/test_cache_node_protocol.py
+++ b/tests/net/test_cache_node_protocol.py
@@ -26,7 +26,7 @@
                 b"V",
                 0,
                 (),
-            ),  # its value is good
+            ),  # the value is valid
         ):
             with self.subTest(data=data):
                 reply = CacheNodeReplyReader(["rif"]).next_reply(ring_of(data))
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to a server: reuse, closing, and too few descriptors."""
+"""Connections to a server: reuse, closing, and a shortage of descriptors."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class LateSecondAnswers(NetworkScene):
-    """A second copy of a reply may come some milliseconds late: nothing tells it from the next reply."""
+    """A second copy of a reply may arrive some milliseconds late, and looks like the next reply."""
 
     def test_once_one_was_seen_a_connection_rests_before_it_is_used_again(self) -> None:
         first = self.ask()
         node = self.at_node()
         node.conn.send(SERVED)
-        self.until(lambda: first.told, "an answer")
-        node.conn.send(SERVED)  # nothing waits for it: the connection is closed, and the fault known
+        self.until(lambda: first.told, "a reply")
+        node.conn.send(SERVED)  # belongs to no request: the connection is closed, and the excess is recorded
         self.until(lambda: node.ends, "the end of the connection")
         second = self.ask()
         node = self.at_node(1)
         node.conn.send(SERVED.replace(b"V", b"2"))
-        self.until(lambda: second.told, "an answer")
+        self.until(lambda: second.told, "a reply")
         third = self.ask()
-        fresh = self.at_node(2)  # and not the connection on which the second copy is still to come
+        fresh = self.at_node(2)  # not the connection on which the second copy will arrive
         node.conn.send(SERVED.replace(b"V", b"2"))
         fresh.conn.send(SERVED.replace(b"V", b"3"))
-        self.until(lambda: third.told, "an answer")
+        self.until(lambda: third.told, "a reply")
         self.assertEqual((second.told, third.told), ([b"2"], [b"3"]))
 
 
@@ -49,12 +49,12 @@
             self.ask()
         for n in (0, 1):
             self.at_node(n).conn.send(SERVED)
-            self.until(lambda: len(self.script.ends()) > n, "an answer")  # noqa: B023
+            self.until(lambda: len(self.script.ends()) > n, "a reply")  # noqa: B023
             self.node.peers[n].got = b""
         started = self.loop.now()
         self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: self.node.peers[0].ends and self.node.peers[1].ends, "idle ones to close")
+        self.until(lambda: self.node.peers[0].ends and self.node.peers[1].ends, "idle connections to close")
         self.assertLess(self.loop.now() - started, 2000)
         self.assertEqual(len(self.node.peers), 2)
 
@@ -63,7 +63,7 @@
         cases = (
             (self.node, NODE, SERVED, other),  # a second copy at once
             (self.node, NODE, SERVED, other[:9]),  # part of one
-            (self.node, NODE, SERVED, b""),  # an end
+            (self.node, NODE, SERVED, b""),  # an orderly close
             (self.origin, ORIGIN, OK_HTTP, OK_HTTP.replace(b"V", b"W")),
             (self.origin, ORIGIN, OK_HTTP, b"noise\r\n"),
         )
@@ -82,7 +82,7 @@
                 other_peer.got = b""
 
     def requested(self, door: RecordingListener, other_than: RecordingPeer | None = None) -> RecordingPeer:
-        """The one connection at the door on which a request has come, which is not this other one."""
+        """The only connection at a listener on which a request was received, except `other_than`."""
         self.until(lambda: any(peer.got for peer in door.peers if peer is not other_than), "a request")
         [peer] = [peer for peer in door.peers if peer.got]
         return peer
@@ -90,7 +90,7 @@
     def ask_when_served(
         self, first: RecordingHandler, peer: RecordingPeer, data: bytes, ends: bool
     ) -> RecordingHandler:
-        """Send the reply to the first request, and ask again from within the call that passes it on."""
+        """Send the reply to the first request, and make another one from the callback that receives it."""
         second = list[RecordingHandler]()
 
         def on_served(value: bytes) -> None:
@@ -108,11 +108,11 @@
         self.ask()
         node = self.at_node()
         node.conn.send(SERVED)
-        self.until(lambda: self.script.ends(), "an answer")
-        node.conn._sock.send(SERVED.replace(b"V", b"W"))  # it lies in the system: the loop has not looked yet
+        self.until(lambda: self.script.ends(), "a reply")
+        node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
         asked = self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: asked.told, "an answer")
+        self.until(lambda: asked.told, "a reply")
         self.assertEqual(asked.told, [b"V"])
 
     def test_a_retired_pool_finishes_what_is_in_flight_and_keeps_no_connection(self) -> None:
@@ -120,7 +120,7 @@
         node = self.at_node()
         self.links[NODE].retire()
         node.conn.send(SERVED)
-        self.until(lambda: asked.told and node.ends, "an answer and an end")
+        self.until(lambda: asked.told and node.ends, "a reply and the end of the connection")
         self.assertEqual(asked.told, [b"V"])
 
 
@@ -131,31 +131,31 @@
 
     def test_attempts_share_a_connection_up_to_the_bound(self) -> None:
         asked = [self.ask(), self.ask(60), self.ask()]
-        self.until(lambda: asked[2].told, "the third to find no room")
+        self.until(lambda: asked[2].told, "the third to be refused")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         node = self.at_node()
-        self.until(lambda: asked[1].told, "the second to run out of time")
-        self.assertEqual(asked[0].told, [])  # its neighbour on the connection is not cut off
+        self.until(lambda: asked[1].told, "the second to time out")
+        self.assertEqual(asked[0].told, [])  # the other attempt on the connection is not aborted
         node.conn.send(SERVED * 2)
-        self.until(lambda: asked[0].told, "the first answer")
+        self.until(lambda: asked[0].told, "the first reply")
         self.assertEqual((asked[0].told, asked[1].told), ([b"V"], ["failed"]))
 
     def test_an_idle_connection_gives_its_descriptor_to_a_client_or_another_server(self) -> None:
         asked = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: asked.told, "the answer")
-        client = self.client(PING)  # the listener and the idle connection hold all that there is
+        self.until(lambda: asked.told, "the reply")
+        client = self.client(PING)  # the listener and the idle connection hold all descriptors
         self.answers(client, b"+PONG\r\n")
         self.until(lambda: self.node.peers[0].ends, "the idle connection to end")
         client.conn.close()
-        self.until(lambda: self.budget.used == 1, "the client to be gone")
+        self.until(lambda: self.budget.used == 1, "the client to be closed")
         asked = self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: asked.told, "the answer")
+        self.until(lambda: asked.told, "the reply")
         self.script.react = once_to(ORIGIN)
         asked = self.ask()
         self.at_node(0, self.origin).conn.send(OK_HTTP)
-        self.until(lambda: asked.told, "the origin's answer")
+        self.until(lambda: asked.told, "the origin's reply")
         self.assertEqual(
             (asked.told, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
         )
@@ -163,8 +163,8 @@
     def test_clients_beyond_their_share_take_no_descriptor_from_connections_to_servers(self) -> None:
         asked = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: asked.told, "the answer")
-        self.budget.limit, self.front.capacity.share = 4, 1  # one is kept from clients, the listener has one
+        self.until(lambda: asked.told, "the reply")
+        self.budget.limit, self.front.capacity.share = 4, 1  # one is reserved, the listener has one
         first = self.client(PING)
         self.answers(first, b"+PONG\r\n")
         self.answers(self.client(PING), b"+PONG\r\n")
@@ -172,13 +172,13 @@
         self.assertEqual((len(self.budget.idle_connections), self.node.peers[0].ends), (1, []))
 
     def test_accepting_goes_on_when_any_descriptor_is_free_again(self) -> None:
-        self.budget.used += 1  # of a connection to a server: no client is there whose end would tell
+        self.budget.used += 1  # for a connection to a server: no client's end can resume accepting
         late = self.client(PING)
-        self.until(lambda: not self.front._mask, "a listener that does not accept")
+        self.until(lambda: not self.front._mask, "the listener to stop accepting")
         self.budget.used -= 1
         self.answers(late, b"+PONG\r\n")
-        self.answers(self.client(PING), b"+PONG\r\n")  # at the bound, in the place of the idle one
-        self.until(lambda: late.ends, "the idle one to end")
+        self.answers(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
+        self.until(lambda: late.ends, "the idle client to be closed")
 
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
         self.script.react = lambda event: []
--- a/tests/net/test_endpoint_list_applier.py
+++ b/tests/net/test_endpoint_list_applier.py
@@ -1,4 +1,4 @@
-"""Lists of thousands of servers: taken in by steps, with who leaves first."""
+"""Lists of thousands of servers: applied in steps, with retired servers before new ones."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 PORT = 6379
 KNOWN = range(20)
 NEW = range(100, 100 + LARGE_FLEET)
-ENTRY_MS = 0.5  # that reading an entry takes on the test's clock
+ENTRY_MS = 0.5  # time to read an entry on the test's clock
 
 
 class LongLists(DiscoveryScene):
-    """A registry that knows a few servers, on a clock that moves with the entries that are read."""
+    """A registry that knows a few servers, with a clock that advances with each entry that is read."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -43,12 +43,12 @@
             self.addCleanup(patch.stop)
 
     def tell(self, *lists: bytes) -> None:
-        """Have the watch receive these lists at once."""
+        """Have the watch receive these lists one directly after another."""
         for text in lists:
             self.registry.on_update(self.watch(), text)
 
     def told(self) -> dict[bytes, EndpointState]:
-        """What the balancer was told of each server last."""
+        """The last state of each server of which the balancer was notified."""
         return {endpoint.server: endpoint.state for update in self.updates for endpoint in update.endpoints}
 
     def test_a_turn_reads_a_bounded_part_and_the_loop_turns_between(self) -> None:
@@ -73,13 +73,16 @@
         self.assertIsNone(self.registry.pool_for(drained))
         self.assertIsNotNone(pool._retired_at)
         order = [endpoint.server for update in self.updates for endpoint in update.endpoints]
-        self.assertLessEqual(order.index(drained), ENTRIES_PER_STEP)  # of those that come
-        self.until(lambda: len(self.told()) == LARGE_FLEET + 1, "all others")
+        self.assertLessEqual(order.index(drained), ENTRIES_PER_STEP)  # after at most one step of new servers
+        self.until(lambda: len(self.told()) == LARGE_FLEET + 1, "all other servers")
         self.assertEqual(self.registry.index, 6)
 
     def test_who_comes_and_leaves_again_before_it_was_taken_in_never_does(self) -> None:
         self.tell(list_text(5, entries(NEW, PORT)), list_text(6, entries(NEW, PORT, status="left")))
-        self.until(lambda: not (self.lists._steps or self.lists._received or self.lists._arrivals), "all")
+        self.until(
+            lambda: not (self.lists._steps or self.lists._received or self.lists._arrivals),
+            "all",
+        )
         self.assertEqual(set(self.told().values()), {EndpointState.GONE})
         self.assertFalse(any(self.registry.pool_for(server_name(number).encode()) for number in NEW))
 
@@ -101,7 +104,7 @@
         self.until(lambda: len(self.told()) == len(KNOWN) + LARGE_FLEET, "the list")
         updates_before = len(self.updates)
         self.tell(list_text(6, entries(NEW, PORT)[::-1], is_snapshot=True))
-        self.until(lambda: len(self.updates) > updates_before, "the list again")
+        self.until(lambda: len(self.updates) > updates_before, "the second list")
         self.assertEqual([update.endpoints for update in self.updates[updates_before:]], [[]])
 
     def test_a_long_line_that_comes_slowly_is_no_silence(self) -> None:
@@ -109,7 +112,7 @@
         half = len(line) // 2
         timer = self.watch()._silence_timer
         self.watch_peer.conn.send(line[:half])
-        self.until(lambda: self.watch()._silence_timer is not timer, "a sign of life")
+        self.until(lambda: self.watch()._silence_timer is not timer, "the silence timer to be restarted")
         self.assertEqual(self.updates, list[EndpointUpdate]())
         self.watch_peer.conn.send(line[half:])
         self.until(lambda: len(self.told()) == LARGE_FLEET, "the list")
--- a/tests/net/test_endpoint_parser.py
+++ b/tests/net/test_endpoint_parser.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery writes them."""
+"""Parsing of discovery's endpoint lists."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
             {"name": 5},
             {"address": "127.0.0.1"},
             {"address": "127.0.0.1:0"},
-            {"address": "cache-1.example:6379"},  # a name would be looked up, and the loop stand still
+            {"address": "cache-1.example:6379"},  # resolving a host name would block the event loop
             {"address": "127.1:6379"},
             {"since_ms": "x"},
             {"since_ms": -1},
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The registry of endpoints: what it makes of updates, and which watch it listens to."""
+"""The endpoint registry: how it applies updates, and from which watch."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
         self.until(lambda: self.updates, "a change")
         self.assertEqual((self.updates[0].kind, self.updates[0].version), (EndpointUpdateKind.DELTA, 9))
         self.assertIsNot(self.registry.pool_for(b"s-1"), pool)
-        self.registry.open_watch()  # while it is open: no second request
+        self.registry.open_watch()  # no second request while a watch is open
         peer.conn.send(chunks(delta(11, status="left")) + b"0\r\n\r\n")
-        self.until(lambda: len(self.updates) == 3, "a change and the end")
+        self.until(lambda: len(self.updates) == 3, "a change and the end of the watch")
         self.assertIsNone(self.registry.pool_for(b"s-1"))
         self.assertEqual(self.update_kinds(), ["DELTA", "DELTA", "FAILED"])
         self.assertEqual(len(self.discovery.peers), 1)
         self.assertIn(b"index=11", self.follow(json.dumps(listing()).encode()).got)
-        self.until(lambda: len(self.updates) == 4, "a whole list")
-        self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is back
+        self.until(lambda: len(self.updates) == 4, "a snapshot")
+        self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is listed again
         self.assertEqual([one.server for one in self.updates[3].endpoints], [b"s-1"])
 
 
 class StartTimes(DiscoveryScene):
-    """Start times in the list are wall-clock time, which may be stepped; ages are spans of real time."""
+    """Start times in the list are wall-clock times, and the wall clock may be stepped; ages must be real."""
 
     HOUR_MS = 3_600_000.0
 
     def age_told(self, since: float, name: str) -> float:
-        """The age at which a server is told that is listed now with this start, in ms."""
+        """The age in ms that the balancer computes for a server that is listed now with this start."""
         updates_before = len(self.updates)
         self.registry.open_watch()
         peer = self.at_node(0, self.discovery)
@@ -65,7 +65,7 @@
 
 
 class ImplausibleStarts(DiscoveryScene):
-    """A proxy that began after its machine's clock was stepped sees no step: the list itself tells more."""
+    """A proxy that started after its machine's clock was stepped sees no step: the list can reveal one."""
 
     HOUR_MS = 3_600_000.0
 
@@ -79,7 +79,7 @@
         an_hour_ago = self.loop.now() - self.HOUR_MS
         self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
-        # What the first object tells may have come about at any time before.
+        # The changes in the first object of a watch may have happened at any earlier time.
         self.assertGreater(self.loop.now() - self.updates[0].endpoints[0].started_at, self.HOUR_MS - 1)
         self.assertLess(self.age_of(delta(6, name="s-2", since_ms=an_hour_ago)), 2000)
         self.assertLess(self.age_of(delta(7, name="s-1", since_ms=an_hour_ago + 1)), 2000)
@@ -96,7 +96,7 @@
 
 
 class MovedWatch(DiscoveryScene):
-    """Discovery at a new address."""
+    """Discovery moves to a new address."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -107,14 +107,14 @@
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
         previous = self.follow()
-        self.registry.move_watch(self.discovery.address)  # where it is already: no request
+        self.registry.move_watch(self.discovery.address)  # the current address: no request
         self.registry.move_watch(self.moved.address)
         current = self.at_node(0, self.moved)
         self.assertIn(b"index=4 ", current.got)
         current.conn.send(STREAM_HEAD)
         for peer, version, status, is_ready in (
             (previous, 9, "leaving", False),
-            (current, 8, "active", False),  # what a watch tells late, after a newer change, changes nothing
+            (current, 8, "active", False),  # an outdated delta changes nothing
             (current, 10, "active", True),
         ):
             updates_before = len(self.updates)
@@ -122,7 +122,7 @@
             self.until(lambda: len(self.updates) > updates_before, "a change")  # noqa: B023
             self.assertEqual(self.registry.pool_for(b"s-1") is not None, is_ready)
         self.until(lambda: previous.ends, "the previous watch to end")
-        self.assertEqual(self.update_kinds(), ["DELTA"] * 3)  # and no failed watch
+        self.assertEqual(self.update_kinds(), ["DELTA"] * 3)  # no failed watch
         self.assertIsNot(self.registry.pool_for(b"s-1"), pool)
         self.assertEqual((len(self.discovery.peers), len(self.moved.peers)), (1, 1))
 
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the list of endpoints: what it tells, when it counts as silent, how it fails."""
+"""The watch on the endpoint list: its updates, its silence timeout and its failures."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def silence_timeout(timeout_ms: float) -> Any:
-    """Another time until a watch counts as silent."""
+    """Replace the silence timeout of watches."""
     return mock.patch.object(endpoint_watch, "WATCH_SILENCE_TIMEOUT_MS", timeout_ms)
 
 
@@ -50,7 +50,7 @@
                 self.updates.clear()
 
     def trickle(self, peer: RecordingPeer, data: bytes) -> None:
-        """Send these bytes every 5 ms, until the watch is given up."""
+        """Send these bytes every 5 ms until the watch ends."""
         if not self.updates and not peer.ends:
             peer.conn.send(data)
             self.loop.call_at(self.loop.now() + 5, lambda: self.trickle(peer, data))
@@ -62,10 +62,10 @@
         self.until(lambda: not watch._connection.connecting, "the watch")
         watch._connection.read_available()
         peer.conn.send(chunks(delta(9, status="leaving")))
-        watch._on_silence()  # its time was over while the line lay unread
+        watch._on_silence()  # the timeout passed while the line was unread
         self.assertEqual(self.update_kinds(), ["DELTA"])
         self.assertIsNone(self.registry.pool_for(b"s-1"))
-        watch._on_silence()  # and now nothing is unread
+        watch._on_silence()  # nothing is unread any more
         self.assertEqual(self.update_kinds(), ["DELTA", "FAILED"])
 
 
@@ -80,7 +80,7 @@
 
     def test_a_break_silence_or_refusal_is_a_failed_watch(self) -> None:
         self.open_watch().reset()
-        self.until(lambda: self.updates, "a broken watch")
+        self.until(lambda: self.updates, "the reset")
         with silence_timeout(50.0):
             self.follow()
             self.until(lambda: len(self.updates) == 2, "silence")
@@ -92,17 +92,18 @@
 
 class Unreachable(DiscoveryScene):
     def test_a_call_whose_connection_does_not_come_up_is_given_up_before_it_counts_as_silent(self) -> None:
-        """One begun while discovery could not be reached may never come up, also when it can be again."""
-        with mock.patch.object(Connection, "_ready"):  # it stays as it is
+        """A connection attempt that started while discovery was unreachable may never succeed, even after
+        discovery has become reachable again."""
+        with mock.patch.object(Connection, "_ready"):  # the connection is never established
             self.registry.open_watch()
             begun_at = self.loop.now()
-            self.until(lambda: self.updates, "the end of the call")
+            self.until(lambda: self.updates, "the connect timeout")
         self.assertEqual(self.update_kinds(), ["FAILED"])
         self.assertLess(self.loop.now() - begun_at, WATCH_SILENCE_TIMEOUT_MS / 2)
 
 
 class Stall(unittest.TestCase):
-    """What the watch needs of the event loop after the process stood still."""
+    """What the watch requires of the event loop after a stall of the process."""
 
     def test_after_a_stall_all_that_is_ready_is_looked_for_and_the_list_goes_first(self) -> None:
         order = list[str]()
@@ -120,7 +121,7 @@
         def select(timeout: float | None) -> Any:
             if timeout == 0:
                 return really_select(0)
-            clock[0] += 3000  # stopped as the first of them came, and let go
+            clock[0] += 3000  # the process is stopped when the first socket becomes ready, and then resumed
             return really_select(0)[:1]
 
         loop.call_at(5000, lambda: None)
--- a/tests/net/test_json_object_stream.py
+++ b/tests/net/test_json_object_stream.py
@@ -1,4 +1,4 @@
-"""JSON objects off the lines of a stream."""
+"""JSON objects in a stream of lines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def decoded(text: bytes) -> dict[str, object]:
-    """The object of a text, as the list's decoder reads it."""
+    """Decode the text of an object with the decoder of endpoint lists."""
     decoder = EndpointListDecoder(text)
     entries = list(decoder.entries())
     return {**decoder.fields, "endpoints": entries}
--- a/tests/net/test_origin_protocol.py
+++ b/tests/net/test_origin_protocol.py
@@ -26,7 +26,7 @@
         ):
             with self.subTest(data=data):
                 reader = OriginProtocol(("127.0.0.1", 80), ["rif"]).create_reader()
-                self.assertIsNone(reader.next_reply(ring_of(data[:-1])))  # not whole yet
+                self.assertIsNone(reader.next_reply(ring_of(data[:-1])))  # incomplete
                 reply = reader.next_reply(ring_of(data[-1:]))
                 assert reply is not None
                 self.assertEqual((reply.outcome, reply.value, reply.load), (outcome, value, load))
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Attempts on a connection to a server: outcomes, the time that the server is told, what is never sent."""
+"""Attempts on a connection to a server: outcomes, forwarded deadlines, and attempts that are not sent."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 
 def wait_until(scene: NetworkScene, time: float) -> None:
-    """Turn the loop until this time, in ms on its clock."""
+    """Run the event loop until this time, in ms on its clock."""
     passed = list[bool]()
     scene.loop.call_at(time, lambda: passed.append(True))
-    scene.until(lambda: passed, "a time")
+    scene.until(lambda: passed, "the time to pass")
 
 
 class AttemptOutcomes(NetworkScene):
-    """CONNECT_FAILED proves that an attempt never ran, RESET says that it may have."""
+    """CONNECT_FAILED proves that an attempt has not run; after RESET it may have run."""
 
     def outcome(self, asked: RecordingHandler) -> str:
-        self.until(lambda: asked.told, "an end")
+        self.until(lambda: asked.told, "a final answer")
         self.assertEqual(asked.told, ["failed"])
         return self.script.ends()[0][1]
 
@@ -70,7 +70,7 @@
     def test_a_break_after_the_last_byte_was_written_is_a_reset(self) -> None:
         asked = self.ask()
         node = self.at_node()
-        node.conn.send(SERVED[:-3])  # only whole answers count
+        node.conn.send(SERVED[:-3])  # an incomplete reply
         node.conn.close_gracefully()
         self.assertEqual(self.outcome(asked), "RESET")
 
@@ -84,7 +84,7 @@
             before = Counter(closed)
             asked = self.ask()
             end(self.at_node(len(self.node.peers)))
-            self.until(lambda: asked.told, "an end")  # noqa: B023
+            self.until(lambda: asked.told, "a final answer")  # noqa: B023
             self.assertEqual(closed - before, {name: 1})
 
     def test_a_busy_reply_is_a_rejection(self) -> None:
@@ -103,17 +103,17 @@
         cases: list[tuple[Callable[[RecordingPeer], None], str]] = [
             (lambda peer: peer.conn.close_gracefully(), "OK"),
             (lambda peer: peer.reset(), "RESET"),
-            (lambda peer: peer.conn.send(b"x" * (1 << 20)), "RESET"),  # longer than any answer: it never ends
+            (lambda peer: peer.conn.send(b"x" * (1 << 20)), "RESET"),  # above the maximum size of a value
         ]
         for number, (end, outcome) in enumerate(cases):
             with self.subTest(outcome=outcome):
                 asked = self.ask()
                 origin = self.at_node(number, self.origin)
                 origin.conn.send(head + b"VAL")
-                self.until(lambda: self.origin_reader()._response_reader.current.body, "a part")
+                self.until(lambda: self.origin_reader()._response_reader.current.body, "a part of the body")
                 self.assertFalse(asked.told)
                 end(origin)
-                self.until(lambda: asked.told, "an end")  # noqa: B023
+                self.until(lambda: asked.told, "a final answer")  # noqa: B023
                 self.assertEqual(self.script.ends()[-1][1], outcome)
                 self.assertEqual(asked.told, [b"VAL" if outcome == "OK" else "failed"])
 
@@ -125,7 +125,7 @@
 
 
 class RemainingTime(NetworkScene):
-    """An attempt tells its server at most the time that is left to the client when it is written."""
+    """The deadline forwarded to a server is at most the remaining time of the client at the write."""
 
     LABELS = b"c=read,k=5c,d=900,r=1,size=3"
 
@@ -133,22 +133,23 @@
         return resp.encode_array([name, b"1f", b"a", self.LABELS, *value])
 
     def miss_after(self, delay: float, data: bytes, then: bytes) -> float:
-        """A request whose first attempt misses after `delay` ms; `then` is asked next. The most time left."""
+        """Make a request whose first attempt misses after `delay` ms and whose second goes to `then`. Returns
+        the maximum of the remaining time."""
         self.script.react = once_to(then=StartAttempt(1, then))
         self.client(data)
         node = self.at_node()
-        sent_at = self.loop.now()  # the request was taken before this
+        sent_at = self.loop.now()  # the proxy received the request before this
         wait_until(self, sent_at + delay)
         answered_at = self.loop.now()
         node.conn.send(MISSED)
         return 900 - (answered_at - sent_at)
 
     def assert_labels(self, labels: bytes, left: float) -> None:
-        """All labels as they came and in order, with a `d` of at most what was left."""
+        """Check that all labels are unchanged and in order, with a `d` of at most the remaining time."""
         before, _, rest = labels.partition(b"d=")
         told, _, after = rest.partition(b",")
         self.assertEqual((before, after), (b"c=read,k=5c,", b"r=1,size=3"))
-        self.assertLessEqual(int(told), left + 0.5)  # whole milliseconds, to the nearest
+        self.assertLessEqual(int(told), left + 0.5)  # rounded to whole milliseconds
         self.assertGreater(int(told), 0)
 
     def check_origin_is_told(self, data: bytes) -> None:
@@ -172,12 +173,12 @@
 
 
 class HalfWrittenAttempts(NetworkScene):
-    """A server begins a command with its last byte: what holds for a send holds for that one too."""
+    """A server runs a command once its last byte has arrived, so the rules for sends apply to that byte."""
 
-    SOON_MS = 400.0  # long before the deadline of the request
+    SOON_MS = 400.0  # well before the deadline of the request
 
     def write_half(self) -> None:
-        """Have the next attempt written in part, to a node that reads no more."""
+        """Have the next attempt written only partly, to a node that stops reading."""
         for patch in (
             mock.patch("tests.support.network_scene.CacheNodeProtocol.encode", return_value=b"x" * 1_000_000),
             mock.patch("tests.support.network_scene.RecordingPeer.on_data"),
@@ -196,10 +197,10 @@
         self.begun_at = self.loop.now()
 
     def assert_never_ran_soon(self) -> None:
-        self.until(lambda: self.script.ends(), "an end")
+        self.until(lambda: self.script.ends(), "the end of the attempt")
         self.assertEqual(self.script.ends()[0][1], "CONNECT_FAILED")
         self.assertLess(self.loop.now() - self.begun_at, self.SOON_MS)
-        self.assertFalse(self.links[NODE]._busy)  # the connection is closed, and no byte follows
+        self.assertFalse(self.links[NODE]._busy)  # the connection is closed, so no byte follows
 
     def test_the_rest_is_not_written_after_its_client_has_left(self) -> None:
         self.write_half()
@@ -227,7 +228,7 @@
 
 
 class DelayedConnections:
-    """Holds back each connection to a server that comes up, until `release`."""
+    """Delays the establishment of connections to servers until `release`."""
 
     def __init__(self) -> None:
         self.held = list[Connection]()
@@ -256,7 +257,7 @@
 
 
 class UnsentAttempts(NetworkScene):
-    """What may change between the decision and the first byte, while a connection comes up late."""
+    """Changes between the decision for an attempt and its first byte, while its connection is delayed."""
 
     STREAMS = 8
 
@@ -273,29 +274,29 @@
                 client = self.client(get())
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
                 client.reset() if way == "reset" else client.conn.close()
-                self.until(lambda: self.engine.is_idle, "its leaving")
+                self.until(lambda: self.engine.is_idle, "the request to be cancelled")
                 delayed.release()
                 [upstream] = delayed.held
                 self.until(lambda: not upstream.connecting, "the connection")  # noqa: B023
-                self.ask()  # goes on the same connection, and is the first thing on it
+                self.ask()  # sent on the same connection, as its first command
                 node = self.at_node(before)
                 self.assertEqual(node.got.count(b"OBJ.GET"), 1)
                 node.conn.send(SERVED)
-                self.until(lambda: self.script.ends()[-1][1] == "OK", "an answer")
+                self.until(lambda: self.script.ends()[-1][1] == "OK", "a reply")
                 node.got = b""
                 self.links[NODE].retire()
                 self.links[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
         self.assertEqual([one[1] for one in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
 
     def test_without_the_send_guard_the_invariants_count_what_goes_wrong(self) -> None:
-        """They are asked at the same place as the guard, and know nothing of it."""
+        """The invariants are checked in the same place as the guard, but independently of it."""
         violations = metrics.invariant_violations
         before = Counter(violations)
         delayed = self.delay_connections()
         client = self.client(get())
         self.until(lambda: delayed.held, "a connection")
         client.conn.close()
-        self.until(lambda: self.engine.is_idle, "its leaving")
+        self.until(lambda: self.engine.is_idle, "the request to be cancelled")
         self.links[NODE].retire()
         self.stand_still(200)
         with mock.patch("lupinladder.net.connection_pool.refuse_send", lambda *_: None):
@@ -311,7 +312,7 @@
         self.until(lambda: delayed.held, "a connection")
         self.links[NODE].retire()
         delayed.release()
-        self.until(lambda: asked.told, "an end")
+        self.until(lambda: asked.told, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.until(lambda: self.node.peers and self.node.peers[0].ends, "the end of the connection")
         self.assertEqual(self.node.peers[0].got, b"")
@@ -325,9 +326,9 @@
         delayed = self.delay_connections()
         asked = self.ask()
         self.until(lambda: delayed.held, "a connection")
-        wait_until(self, self.loop.now() + 31)  # the end of the window
+        wait_until(self, self.loop.now() + 31)  # after the end of the window
         delayed.release()
-        self.until(lambda: asked.told, "an end")
+        self.until(lambda: asked.told, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.assertEqual(self.node.peers[0].got, b"")
 
@@ -348,7 +349,7 @@
     def test_an_attempt_that_is_unsent_at_its_deadline_never_ran(self) -> None:
         self.delay_connections()
         asked = self.ask(60)
-        self.until(lambda: asked.told, "an end")
+        self.until(lambda: asked.told, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
 
     def test_an_abandoned_attempt_behind_others_is_not_sent(self) -> None:
@@ -357,10 +358,10 @@
         self.until(lambda: delayed.held, "a connection")
         with mock.patch.object(self.budget, "has_capacity", lambda keep=0: False):
             second, third = self.ask(60), self.ask()
-        self.until(lambda: second.told, "its end")
+        self.until(lambda: second.told, "the second to time out")
         delayed.release()
         node = self.at_node()
-        self.until(lambda: node.got.count(b"OBJ.GET") == 2, "two of them")
+        self.until(lambda: node.got.count(b"OBJ.GET") == 2, "two commands")
         node.conn.send(SERVED * 2)
-        self.until(lambda: first.told and third.told, "both answers")
+        self.until(lambda: first.told and third.told, "both replies")
         self.assertEqual((len(self.node.peers), node.got.count(b"OBJ.GET")), (1, 2))
--- a/tests/net/test_upstream_reply.py
+++ b/tests/net/test_upstream_reply.py
@@ -1,4 +1,4 @@
-"""Load reports of servers."""
+"""Parsing of load reports."""
 
 from __future__ import annotations
 
