--- a/lupinladder/net/connection_pool.py
+++ b/lupinladder/net/connection_pool.py
@@ -16,7 +16,7 @@
 from lupinladder.net.upstream_protocol import UpstreamProtocol
 
 # One sixth of the descriptors is reserved for clients, so that connections to servers never keep clients out.
-CLIENT_DESCRIPTOR_DIVISOR = 6
+RESERVED_DESCRIPTOR_DIVISOR = 6
 # An idle connection is closed after this fraction of the server's idle timeout, so that the server does not
 # close it just as it is reused.
 IDLE_TIMEOUT_FACTOR = 0.8
@@ -77,7 +77,7 @@
     def request_finished(self, attempt: Attempt) -> None:
         """Abort the rest of an attempt that is partly written, as its request is finished."""
         for connection in self._busy:
-            if connection.cut_off(attempt):
+            if connection.stop_writing(attempt):
                 return
 
     def retire(self) -> None:
@@ -94,9 +94,9 @@
         metrics.sends_refused[refusal] += 1
         return False
 
-    def check_send(self, attempt: Attempt, told_deadline: float) -> None:
-        """Check the invariants for an attempt that is about to be sent with `told_deadline`, in ms."""
-        attempt.dispatcher.monitor.check_send(attempt, told_deadline, self._retired_at, self.loop.now())
+    def check_send(self, attempt: Attempt, forwarded_deadline: float) -> None:
+        """Check the invariants for an attempt that is about to be sent with `forwarded_deadline`, in ms."""
+        attempt.dispatcher.monitor.check_send(attempt, forwarded_deadline, self._retired_at, self.loop.now())
 
     def mark_idle(self, connection: UpstreamConnection) -> None:
         """Keep a connection without attempts until it is reused or reaches the idle timeout."""
@@ -119,7 +119,7 @@
 
     def _take_idle(self) -> UpstreamConnection | None:
         """Return the most recently used idle connection that may be reused, and mark it as busy."""
-        while (connection := self._last_rested()) is not None:
+        while (connection := self._last_used_reusable()) is not None:
             self._idle.remove(connection)
             self.budget.idle_connections.pop(connection, None)
             self.loop.cancel(connection.idle_timer)
@@ -132,7 +132,7 @@
             connection.close(CloseReason.SERVER_STALE)
         return None
 
-    def _last_rested(self) -> UpstreamConnection | None:
+    def _last_used_reusable(self) -> UpstreamConnection | None:
         now = self.loop.now()
         for connection in reversed(self._idle):
             if self.reuse_policy.may_reuse(connection.idle_since, now):
@@ -143,14 +143,14 @@
         """Open a connection and mark it as busy; while descriptors are short, return one to be shared."""
         connection = self._open() if self._make_descriptor_available() else None
         if connection is None:
-            return self._least_loaded_with_room()
+            return self._least_loaded_with_capacity()
         self._busy[connection] = None
         return connection
 
     def _make_descriptor_available(self) -> bool:
         """Whether a connection may be opened; if necessary, an idle one of any pool is closed for it."""
-        kept_for_clients = self.budget.limit // CLIENT_DESCRIPTOR_DIVISOR
-        return self.budget.has_capacity(kept_for_clients) or self.budget.close_longest_idle()
+        reserved_for_clients = self.budget.limit // RESERVED_DESCRIPTOR_DIVISOR
+        return self.budget.has_capacity(reserved_for_clients) or self.budget.close_longest_idle()
 
     def _open(self) -> UpstreamConnection | None:
         try:
@@ -159,7 +159,7 @@
             log_event("upstream_connect_failed", address=format_address(self.address), error=error)
             return None
 
-    def _least_loaded_with_room(self) -> UpstreamConnection | None:
+    def _least_loaded_with_capacity(self) -> UpstreamConnection | None:
         candidates = [
             connection
             for connection in self._busy
--- a/lupinladder/net/discovery/endpoint_list_applier.py
+++ b/lupinladder/net/discovery/endpoint_list_applier.py
@@ -24,11 +24,11 @@
 
 # Maximum time in ms that an event loop iteration spends on lists; its last step may exceed this.
 APPLY_TIME_MS = 6.0
-# A list that may have been unread for longer than this is read to its end at once: requests sent before that
-# follow the old list, and the grace period after a drain is running out.
-OVERDUE_MS = 200.0
+# A list that may have been unread for longer than this is read to its end at once: until then requests are
+# sent by the old list, while the grace period after a drain is running out.
+OVERDUE_THRESHOLD_MS = 200.0
 ENTRIES_PER_STEP = 16  # entries that are read, or servers that are updated, removed or added
-_END = object()  # returned by next() when a list has no more steps
+_NO_MORE_STEPS = object()  # returned by next() when a list has no more steps
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class _Arrival:
+class _PendingAddition:
     """A server that has still to be added."""
 
     listed: ListedEndpoint
@@ -77,68 +77,69 @@
         self.is_current = False  # the open watch has delivered a list, so this one matches discovery's
         self._received: deque[ReceivedList] = deque()
         self._steps: Iterator[None] | None = None  # of the list that is being read
-        self._arrivals: dict[ServerId, _Arrival] = {}
-        self._working = False
-        self._resuming = False  # a call of `_resume` is scheduled
-        self._turn_worked_in = -inf  # start of the last iteration in which a list was applied on receipt
+        self._pending_additions: dict[ServerId, _PendingAddition] = {}
+        self._is_running = False
+        self._is_resume_scheduled = False
+        # Start of the last event loop iteration in which a list was applied on receipt.
+        self._last_iteration_started_at = -inf
 
     def submit(self, received: ReceivedList) -> None:
         """Apply a list: a short one at once, a long one over this event loop iteration and later ones."""
         self._received.append(received)
-        if self._working:
-            return  # a step has received another list; the loop in `_work` will read it
-        is_first_of_turn = self._turn_worked_in != self._loop.turn_began_at
+        if self._is_running:
+            return  # a step has received another list; the loop in `_run_steps` will read it
+        is_first_in_iteration = self._last_iteration_started_at != self._loop.turn_began_at
         stop_at = self._loop.turn_began_at + APPLY_TIME_MS
-        if is_first_of_turn or self._loop.now() < stop_at or self._is_overdue:
-            self._turn_worked_in = self._loop.turn_began_at
-            self._work(stop_at)
+        if is_first_in_iteration or self._loop.now() < stop_at or self._is_overdue:
+            self._last_iteration_started_at = self._loop.turn_began_at
+            self._run_steps(stop_at)
         else:
-            self._work_on_later()
+            self._schedule_resume()
 
-    def _work(self, stop_at: float) -> None:
+    def _run_steps(self, stop_at: float) -> None:
         """Run at least one step, and further ones until `stop_at`, or until an overdue list is read."""
-        self._working = True
+        self._is_running = True
         try:
-            while self._take_step():
+            while self._run_step():
                 is_reading = self._steps is not None or len(self._received) > 0
                 if self._loop.now() >= stop_at and not (is_reading and self._is_overdue):
                     break
         finally:
-            self._working = False
-            if self._steps is not None or self._received or self._arrivals:
-                self._work_on_later()
+            self._is_running = False
+            if self._steps is not None or self._received or self._pending_additions:
+                self._schedule_resume()
 
     @property
     def _is_overdue(self) -> bool:
-        return self._loop.unread_time > OVERDUE_MS
+        return self._loop.unread_time > OVERDUE_THRESHOLD_MS
 
-    def _work_on_later(self) -> None:
-        if not self._resuming:
-            self._resuming = True
+    def _schedule_resume(self) -> None:
+        if not self._is_resume_scheduled:
+            self._is_resume_scheduled = True
             self._loop.call_soon(self._resume)
 
     def _resume(self) -> None:
-        self._resuming = False
-        self._work(self._loop.now() + APPLY_TIME_MS)
+        self._is_resume_scheduled = False
+        self._run_steps(self._loop.now() + APPLY_TIME_MS)
 
-    def _take_step(self) -> bool:
+    def _run_step(self) -> bool:
         """Read part of a list, or add a few servers; False if there is nothing to do."""
         if self._steps is None and self._received:
             self._steps = self._apply(self._received.popleft())
         if self._steps is not None:
             steps = self._steps
             self._steps = None  # a list whose step raises an exception is not resumed
-            if next(steps, _END) is not _END:
+            if next(steps, _NO_MORE_STEPS) is not _NO_MORE_STEPS:
                 self._steps = steps
             return True
-        if self._arrivals:
-            self._tell(EndpointUpdateKind.DELTA, self._take_in_arrivals())
+        if self._pending_additions:
+            self._notify_balancer(EndpointUpdateKind.DELTA, self._add_pending_servers())
             return True
         return False
 
     def _apply(self, received: ReceivedList) -> Iterator[None]:
         """Read a list and apply its changes of known servers; each step ends with a yield."""
-        began_at = self._loop.now()
+        started_at = self._loop.now()
         try:
             changes = yield from self._read(received.text)
         except ValueError as error:
@@ -154,14 +155,14 @@
         kind = EndpointUpdateKind.DIFFERENCE if header.is_snapshot else EndpointUpdateKind.DELTA
         # The list was followed without a gap, so a server that it names now for the first time is new to it.
         is_live = not header.is_snapshot and self.is_current
-        told = yield from self._change_known(kind, changes, is_live)
-        self._tell(kind, told + self._take_in_arrivals())
+        updated = yield from self._update_known_servers(kind, changes, is_live)
+        self._notify_balancer(kind, updated + self._add_pending_servers())
         log_event(
             "endpoint_list_read",
             version=header.version,
             entries=changes.entry_count,
             changed=len(changes.changed),
-            ms=round(self._loop.now() - began_at),
+            ms=round(self._loop.now() - started_at),
         )
         self._on_applied(received.watch)
 
@@ -169,7 +170,7 @@
         """Determine what a list changes, in steps. Raises ValueError if the text is not a valid list."""
         decoder = EndpointListDecoder(text)
         changed = dict[ServerId, ListedEndpoint | None]()
-        named = set[ServerId]()
+        listed_servers = set[ServerId]()
         count = 0
         for item in decoder.entries():
             count += 1
@@ -177,46 +178,50 @@
             if listed is not None:
                 server = listed.endpoint.server
                 if listed.endpoint.state is not EndpointState.GONE:
-                    named.add(server)
+                    listed_servers.add(server)
                 changed.pop(server, None)  # the last entry for a server counts
-                if server in self._arrivals or not self._directory.is_known(listed):
+                if server in self._pending_additions or not self._directory.is_unchanged(listed):
                     changed[server] = listed
             if count % ENTRIES_PER_STEP == 0:
                 yield
         header = self._parser.read_header(decoder.fields)
         if header.is_snapshot:  # a server that is missing from a snapshot is gone
-            known = [*self._directory.servers(), *self._arrivals]
-            changed |= dict.fromkeys(server for server in known if server not in named)
+            known_servers = [*self._directory.servers(), *self._pending_additions]
+            changed |= dict.fromkeys(server for server in known_servers if server not in listed_servers)
         return _ListChanges(header, count, changed)
 
-    def _change_known(
+    def _update_known_servers(
         self, kind: EndpointUpdateKind, changes: _ListChanges, is_live: bool
     ) -> Generator[None, None, list[Endpoint]]:
         """Apply a list's changes of known servers, in steps, and queue its new servers. Returns the last
         changed endpoints, of which the balancer has still to be notified."""
-        told = list[Endpoint]()
+        updated = list[Endpoint]()
         for server, listed in changes.changed.items():
-            self._arrivals.pop(server, None)
+            self._pending_additions.pop(server, None)
             if listed is None or listed.endpoint.state is EndpointState.GONE:
-                self._directory.withdraw(server)
-                told.append(Endpoint(server, EndpointState.GONE))
-            elif self._directory.knows(server):
-                told.append(self._directory.put(listed, is_live))
+                self._directory.retire_server(server)
+                updated.append(Endpoint(server, EndpointState.GONE))
+            elif self._directory.is_listed(server):
+                updated.append(self._directory.put(listed, is_live))
             else:
-                self._arrivals[server] = _Arrival(listed, is_live)
-            if len(told) == ENTRIES_PER_STEP:
-                self._tell(kind, told, more_follows=True)
-                told = []
+                self._pending_additions[server] = _PendingAddition(listed, is_live)
+            if len(updated) == ENTRIES_PER_STEP:
+                self._notify_balancer(kind, updated, more_follows=True)
+                updated = []
                 yield
-        return told
+        return updated
 
-    def _take_in_arrivals(self) -> list[Endpoint]:
+    def _add_pending_servers(self) -> list[Endpoint]:
         """Add a few of the queued servers. Returns their endpoints for the balancer."""
-        taken = list[Endpoint]()
-        while self._arrivals and len(taken) < ENTRIES_PER_STEP:
-            _, arrival = self._arrivals.popitem()
-            taken.append(self._directory.put(arrival.listed, arrival.is_live))
-        return taken
-
-    def _tell(self, kind: EndpointUpdateKind, endpoints: list[Endpoint], more_follows: bool = False) -> None:
-        self._notify(EndpointUpdate(kind, self.version, endpoints, more_follows or bool(self._arrivals)))
+        added = list[Endpoint]()
+        while self._pending_additions and len(added) < ENTRIES_PER_STEP:
+            _, addition = self._pending_additions.popitem()
+            added.append(self._directory.put(addition.listed, addition.is_live))
+        return added
+
+    def _notify_balancer(
+        self, kind: EndpointUpdateKind, endpoints: list[Endpoint], more_follows: bool = False
+    ) -> None:
+        self._notify(
+            EndpointUpdate(kind, self.version, endpoints, more_follows or bool(self._pending_additions))
+        )
--- a/lupinladder/net/discovery/endpoint_list_decoder.py
+++ b/lupinladder/net/discovery/endpoint_list_decoder.py
@@ -27,13 +27,13 @@
         has_entries = False
         if self._peek() != "}":
             while True:
-                key = self._value()
+                key = self._read_value()
                 self._expect(":")
                 if key == ENTRIES_KEY and self._peek() == "[":
                     has_entries = True
-                    yield from self._array()
+                    yield from self._read_entries()
                 else:
-                    self.fields[str(key)] = self._value()
+                    self.fields[str(key)] = self._read_value()
                 if self._peek() != ",":
                     break
                 self._expect(",")
@@ -41,17 +41,17 @@
         if self._peek() or not has_entries:
             self._fail("the end of an object with a list of entries")
 
-    def _array(self) -> Iterator[object]:
+    def _read_entries(self) -> Iterator[object]:
         self._expect("[")
         if self._peek() != "]":
             while True:
-                yield self._value()
+                yield self._read_value()
                 if self._peek() != ",":
                     break
                 self._expect(",")
         self._expect("]")
 
-    def _value(self) -> Any:
+    def _read_value(self) -> Any:
         """Decode the JSON value at the current position."""
         self._skip_whitespace()
         try:
@@ -61,9 +61,9 @@
         return value
 
     def _skip_whitespace(self) -> None:
-        found = _WHITESPACE.match(self._text, self._position)
-        if found is not None:
-            self._position = found.end()
+        whitespace = _WHITESPACE.match(self._text, self._position)
+        if whitespace is not None:
+            self._position = whitespace.end()
 
     def _peek(self) -> str:
         """The next character that is not white space; empty at the end."""
--- a/lupinladder/net/discovery/endpoint_parser.py
+++ b/lupinladder/net/discovery/endpoint_parser.py
@@ -135,19 +135,17 @@
         """
         server = read_value(item, "name", str).encode()
         state = ENDPOINT_STATES.get(read_value(item, "status", str))
-        departed = ListedEndpoint(Endpoint(server, EndpointState.GONE), None)
+        gone = ListedEndpoint(Endpoint(server, EndpointState.GONE), None)
         if state is EndpointState.GONE:
-            return departed
+            return gone
         try:
-            return self._read_present_endpoint(item, server, state)
+            return self._read_all_fields(item, server, state)
         except ValueError:
             if state is EndpointState.DRAINING:
-                return departed
+                return gone
             raise
 
-    def _read_present_endpoint(
-        self, item: Any, server: ServerId, state: EndpointState | None
-    ) -> ListedEndpoint:
+    def _read_all_fields(self, item: Any, server: ServerId, state: EndpointState | None) -> ListedEndpoint:
         zone = read_value(item, "zone", str)
         server_type = read_value(item, "type", str)
         if state is None or zone not in self._zones or server_type not in self._server_types:
--- a/lupinladder/net/discovery/endpoint_watch.py
+++ b/lupinladder/net/discovery/endpoint_watch.py
@@ -23,7 +23,7 @@
 
 # Number of bytes of an incomplete line that count as progress: a list of thousands of servers may take longer
 # to arrive than the silence timeout, and a watch that only trickles does not reach this number in that time.
-SIGN_OF_LIFE_BYTES = 16 << 10
+MIN_PROGRESS_BYTES = 16 << 10
 
 
 class WatchListener(Protocol):
@@ -52,16 +52,16 @@
         self._listener = listener
         self._response_reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES)
         self._objects = JsonObjectStream(MAX_ENDPOINT_LIST_BYTES)
-        self._is_answered = False  # the headers of the response were received
-        self._searched = 0  # number of bytes of the body that contain no end of a line
-        self._last_sign_at = 0  # length of the incomplete line when it last counted as progress
+        self._has_response = False  # the headers of the response were received
+        self._searched_bytes = 0  # number of bytes of the body that contain no end of a line
+        self._last_progress_length = 0  # length of the incomplete line when it last counted as progress
         self._has_ended = False
         self._silence_timer: Timer | None = None
         self._connection = Connection.connect(loop, budget, address, self, WatchRank.ENDPOINT_LIST)
         path = f"/v1/endpoints?stream=1&index={version}"
         self._connection.send(encode_request("GET", path, format_address(address), {}, None))
-        connect_by = loop.now() + WATCH_CONNECT_TIMEOUT_MS
-        self._silence_timer = loop.call_at(connect_by, self._on_connect_timeout)
+        connect_deadline = loop.now() + WATCH_CONNECT_TIMEOUT_MS
+        self._silence_timer = loop.call_at(connect_deadline, self._on_connect_timeout)
 
     def read_available(self) -> None:
         """Read what discovery has written already, because discovery counts it as delivered."""
@@ -114,8 +114,8 @@
         response = completed[0] if completed else self._response_reader.current
         if response.status not in (0, HTTPStatus.OK):
             return f"response status {response.status}"
-        if response.status and not self._is_answered:
-            self._is_answered = True
+        if response.status and not self._has_response:
+            self._has_response = True
             self._restart_silence_timer()
         self._handle_lines(response.body)
         return end_reason
@@ -123,17 +123,17 @@
     def _handle_lines(self, body: bytearray) -> None:
         """Remove the complete lines from the body and pass on their objects. An incomplete line is not
         searched again, because it may be long and arrive in many pieces."""
-        end = body.rfind(b"\n", min(self._searched, len(body)))
+        end = body.rfind(b"\n", min(self._searched_bytes, len(body)))
         if end < 0:
-            if len(body) - self._last_sign_at >= SIGN_OF_LIFE_BYTES:
-                self._last_sign_at = len(body)
+            if len(body) - self._last_progress_length >= MIN_PROGRESS_BYTES:
+                self._last_progress_length = len(body)
                 self._restart_silence_timer()
-            self._searched = len(body)
+            self._searched_bytes = len(body)
             return
         lines = bytes(body[:end]).split(b"\n")
         del body[: end + 1]
-        self._searched = len(body)
-        self._last_sign_at = 0
+        self._searched_bytes = len(body)
+        self._last_progress_length = 0
         for line in lines:
             texts = self._objects.feed_line(line)
             if not self._connection.is_open:
@@ -151,9 +151,9 @@
         """
         self._loop.cancel(self._silence_timer)
         silent_at = self._loop.now() + WATCH_SILENCE_TIMEOUT_MS
-        self._silence_timer = self._loop.call_at(silent_at, self._on_silence)
+        self._silence_timer = self._loop.call_at(silent_at, self._on_silence_timeout)
 
-    def _on_silence(self) -> None:
+    def _on_silence_timeout(self) -> None:
         """End the watch, unless unread bytes restart the silence timeout.
 
         If this process was stalled, updates may be unread. Discovery counts them as delivered, so they would
--- a/lupinladder/net/discovery/json_object_stream.py
+++ b/lupinladder/net/discovery/json_object_stream.py
@@ -34,7 +34,7 @@
         if self.is_idle:
             if not line or line.isspace():
                 return []
-            if _looks_whole(line):
+            if _looks_complete(line):
                 return [line]
         self._pending += line + b"\n"
         self._depth += _count_open_brackets(line)
@@ -46,7 +46,7 @@
         return [text]
 
 
-def _looks_whole(line: bytes) -> bool:
+def _looks_complete(line: bytes) -> bool:
     """Whether a line is a complete object, by the number of its brackets. Brackets in strings are counted as
     well, which can only make a complete line take the slower path."""
     text = line.strip()
--- a/lupinladder/net/discovery/server_directory.py
+++ b/lupinladder/net/discovery/server_directory.py
@@ -60,18 +60,18 @@
         """The ids of the listed servers."""
         return self._entries.keys()
 
-    def knows(self, server: ServerId) -> bool:
+    def is_listed(self, server: ServerId) -> bool:
         """Whether a server is listed."""
         return server in self._entries
 
-    def is_known(self, listed: ListedEndpoint) -> bool:
+    def is_unchanged(self, listed: ListedEndpoint) -> bool:
         """Whether this endpoint of a list changes nothing."""
         entry = self._entries.get(listed.endpoint.server)
         if entry is None:
             return listed.endpoint.state is EndpointState.GONE
         return entry.listed == listed
 
-    def withdraw(self, server: ServerId, state: EndpointState = EndpointState.GONE) -> None:
+    def retire_server(self, server: ServerId, state: EndpointState = EndpointState.GONE) -> None:
         """Remove a server, which is now in this state. It gets no new requests, its attempts in flight may
         finish, and its idle connections are closed."""
         entry = self._entries.pop(server, None)
@@ -89,10 +89,10 @@
         """
         endpoint = listed.endpoint
         entry = self._entries.get(endpoint.server)
-        if entry is not None and _same_process(entry.listed, listed):
+        if entry is not None and _is_same_process(entry.listed, listed):
             entry.listed = listed
         else:
-            self.withdraw(endpoint.server, endpoint.state)
+            self.retire_server(endpoint.server, endpoint.state)
             self._entries[endpoint.server] = _DirectoryEntry(listed)
         started_at = self._start_times.convert(
             endpoint.server, endpoint.started_at, self._loop.now(), is_live
@@ -112,7 +112,7 @@
     return listed.endpoint.state is EndpointState.READY
 
 
-def _same_process(known: ListedEndpoint, listed: ListedEndpoint) -> bool:
+def _is_same_process(known: ListedEndpoint, listed: ListedEndpoint) -> bool:
     """Whether connections to the known endpoint lead to the same process as listed, and stay usable."""
     if not (_is_ready(known) and _is_ready(listed)) or known.address != listed.address:
         return False
--- a/lupinladder/net/discovery/start_times.py
+++ b/lupinladder/net/discovery/start_times.py
@@ -15,7 +15,7 @@
 # Maximum time in ms from a server's start until a list that is followed without a gap names it. The list lags
 # by seconds, occasionally by some ten seconds more.
 MAX_LIST_LAG_MS = 45_000.0
-MAX_REMEMBERED = 10_000  # starts, also of removed servers: three times the size of the largest fleet
+MAX_REMEMBERED_STARTS = 10_000  # starts, also of removed servers: three times the size of the largest fleet
 
 
 class _StartTime(NamedTuple):
@@ -56,5 +56,5 @@
     def _remember(self, server: ServerId, start_time: _StartTime) -> None:
         self._by_server.pop(server, None)
         self._by_server[server] = start_time
-        if len(self._by_server) > MAX_REMEMBERED:
+        if len(self._by_server) > MAX_REMEMBERED_STARTS:
             del self._by_server[next(iter(self._by_server))]
--- a/lupinladder/net/reuse_policy.py
+++ b/lupinladder/net/reuse_policy.py
@@ -10,8 +10,8 @@
 
 from math import inf
 
-REST_MS = 25.0  # minimum idle time before reuse: several times the delay of a second copy
-MEMORY_MS = 60_000.0  # time after the last excess bytes during which reuse is delayed
+REUSE_DELAY_MS = 25.0  # minimum idle time before reuse: several times the delay of a second copy
+REUSE_DELAY_PERIOD_MS = 60_000.0  # time after the last excess bytes during which reuse is delayed
 
 
 class ReusePolicy:
@@ -21,14 +21,14 @@
     """
 
     def __init__(self) -> None:
-        self._excess_seen_at = -inf
+        self._last_excess_at = -inf
 
-    def record_excess(self, now: float) -> None:
+    def record_excess_bytes(self, now: float) -> None:
         """Record that a server has sent bytes that belong to no request."""
-        self._excess_seen_at = now
+        self._last_excess_at = now
 
     def may_reuse(self, idle_since: float, now: float) -> bool:
         """Whether a connection that received its last reply at `idle_since` may carry a request at `now`."""
-        if now - self._excess_seen_at > MEMORY_MS:
+        if now - self._last_excess_at > REUSE_DELAY_PERIOD_MS:
             return True
-        return now - idle_since >= REST_MS
+        return now - idle_since >= REUSE_DELAY_MS
--- a/lupinladder/net/upstream_connection.py
+++ b/lupinladder/net/upstream_connection.py
@@ -28,7 +28,7 @@
 
     attempt: Attempt | None  # None: abandoned; its reply must still be read, as replies come in order
     end_offset: int  # bytes queued on the connection up to the attempt's last one
-    begun_at: float  # when its first byte was written, in ms
+    write_started_at: float  # when its first byte was written, in ms
 
 
 class UpstreamConnection:
@@ -49,8 +49,8 @@
         self.idle_since = 0.0  # when its last reply was received, in ms
         self.connection = Connection.connect(pool.loop, pool.budget, pool.address, self)
         metrics.upstream_connections_opened += 1
-        connect_by = pool.loop.now() + pool.connect_timeout_ms
-        self._connect_timer: Timer | None = pool.loop.call_at(connect_by, self._on_connect_timeout)
+        connect_deadline = pool.loop.now() + pool.connect_timeout_ms
+        self._connect_timer: Timer | None = pool.loop.call_at(connect_deadline, self._on_connect_timeout)
         self._write_timer: Timer | None = None  # for a partly written command
 
     @property
@@ -68,13 +68,13 @@
 
         Unless other attempts wait on the connection, it is closed, which informs the server.
         """
-        if not self._forget(attempt):
+        if not self._detach(attempt):
             return False
         if not self.unsent and all(entry.attempt is None for entry in self.in_flight):
             self.close(CloseReason.SERVER_ABANDONED)
         return True
 
-    def cut_off(self, attempt: Attempt) -> bool:
+    def stop_writing(self, attempt: Attempt) -> bool:
         """Close the connection if an attempt is only partly written, as its request is finished.
 
         False if the attempt is not on this connection. An attempt that is not written at all is refused when
@@ -83,7 +83,7 @@
         for entry in self.in_flight:
             if entry.attempt is attempt:
                 if self.connection.bytes_sent < entry.end_offset:
-                    self._refuse_rest(SendRefusal.REQUEST_FINISHED)
+                    self._abort_partial_write(SendRefusal.REQUEST_FINISHED)
                 return True
         return attempt in self.unsent
 
@@ -141,13 +141,15 @@
     def may_write(self) -> bool:
         """Whether queued bytes may still be written. If the rest of a partly written command must not be, the
         connection is closed."""
-        partial = next((one for one in self.in_flight if self.connection.bytes_sent < one.end_offset), None)
+        partial = next(
+            (entry for entry in self.in_flight if self.connection.bytes_sent < entry.end_offset), None
+        )
         if partial is None or partial.attempt is None:
             return True  # an abandoned attempt counts as run, and others may wait behind it
-        refusal = refuse_more(partial.attempt, partial.begun_at, self._pool.loop.now())
+        refusal = refuse_more(partial.attempt, partial.write_started_at, self._pool.loop.now())
         if refusal is None:
             return True
-        self._refuse_rest(refusal)
+        self._abort_partial_write(refusal)
         return False
 
     def on_closed(self, by_peer: bool) -> None:
@@ -168,17 +170,17 @@
 
     def _write(self) -> None:
         """Write the attempts that may still be sent, one by one, while the system accepts the bytes."""
-        expired = list[Attempt]()
+        refused = list[Attempt]()
         while self.unsent and not self.connection.connecting and not len(self.connection.outbox):
             attempt = self.unsent.popleft()
             if self._pool.may_send(attempt):
                 self._send(attempt)
             else:
-                expired.append(attempt)
+                refused.append(attempt)
         if not self.attempt_count and not self.connection.connecting:
             self._pool.mark_idle(self)
-        metrics.attempts_never_started += len(expired)
-        for attempt in expired:  # last, as ending an attempt may call this connection again
+        metrics.attempts_never_started += len(refused)
+        for attempt in refused:  # last, as ending an attempt may call this connection again
             attempt.end(Outcome.CONNECT_FAILED)
 
     def _send(self, attempt: Attempt) -> None:
@@ -193,7 +195,7 @@
             self._pool.loop.cancel(self._write_timer)
             self._write_timer = self._pool.loop.call_at(write_by(attempt, now), self.may_write)
 
-    def _refuse_rest(self, refusal: SendRefusal) -> None:
+    def _abort_partial_write(self, refusal: SendRefusal) -> None:
         """Close the connection during a partly written command, which therefore never runs."""
         metrics.sends_refused[refusal] += 1
         self.close(CloseReason.SERVER_HALF_WRITTEN)
@@ -215,7 +217,7 @@
         still holds bytes, the reply came before its request was written completely.
         """
         if len(self.connection.inbox) or not self.reader.is_idle or len(self.connection.outbox):
-            self._pool.reuse_policy.record_excess(self._pool.loop.now())
+            self._pool.reuse_policy.record_excess_bytes(self._pool.loop.now())
             self._abort_as_invalid("bytes that belong to no request")
         return self.connection.is_open
 
@@ -224,7 +226,7 @@
         metrics.upstream_replies_invalid += 1
         self.close(CloseReason.SERVER_INVALID_REPLY)
 
-    def _forget(self, attempt: Attempt) -> bool:
+    def _detach(self, attempt: Attempt) -> bool:
         """Remove an unsent attempt, or mark one in flight as abandoned; False if it is not found."""
         for entry in self.in_flight:
             if entry.attempt is attempt:
--- a/tests/net/test_cache_node_protocol.py
+++ b/tests/net/test_cache_node_protocol.py
@@ -36,7 +36,7 @@
                     (outcome, value, cache_result, load),
                 )
 
-    def test_a_reply_that_no_cache_node_should_write_is_an_error(self) -> None:
+    def test_an_unexpected_reply_is_a_protocol_error(self) -> None:
         value = b"$1\r\nV\r\n"
         rest = b"$-1\r\n$-1\r\n"
         for data in (
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -19,10 +19,10 @@
 OK_HTTP = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nV"
 
 
-class LateSecondAnswers(NetworkScene):
+class LateDuplicateReplies(NetworkScene):
     """A second copy of a reply may arrive some milliseconds late, and looks like the next reply."""
 
-    def test_once_one_was_seen_a_connection_rests_before_it_is_used_again(self) -> None:
+    def test_after_a_duplicate_reply_a_connection_is_not_reused_at_once(self) -> None:
         first = self.ask()
         node = self.at_node()
         node.conn.send(SERVED)
@@ -34,9 +34,9 @@
         node.conn.send(SERVED.replace(b"V", b"2"))
         self.until(lambda: second.told, "a reply")
         third = self.ask()
-        fresh = self.at_node(2)  # not the connection on which the second copy will arrive
+        third_node = self.at_node(2)  # not the connection on which the second copy will arrive
         node.conn.send(SERVED.replace(b"V", b"2"))
-        fresh.conn.send(SERVED.replace(b"V", b"3"))
+        third_node.conn.send(SERVED.replace(b"V", b"3"))
         self.until(lambda: third.told, "a reply")
         self.assertEqual((second.told, third.told), ([b"2"], [b"3"]))
 
@@ -44,7 +44,7 @@
 class ConnectionReuse(NetworkScene):
     IDLE_MS = 2000.0
 
-    def test_the_last_used_is_taken_first_and_idle_ones_close_before_the_server_does(self) -> None:
+    def test_the_last_used_is_reused_first_and_idle_ones_close_before_the_server_closes_them(self) -> None:
         for _ in range(2):
             self.ask()
         for n in (0, 1):
@@ -58,7 +58,7 @@
         self.assertLess(self.loop.now() - started, 2000)
         self.assertEqual(len(self.node.peers), 2)
 
-    def test_a_connection_with_anything_unread_or_an_end_is_not_used_again(self) -> None:
+    def test_a_connection_with_unread_bytes_or_closed_by_the_server_is_not_reused(self) -> None:
         other = SERVED.replace(b"V", b"W")
         cases = (
             (self.node, NODE, SERVED, other),  # a second copy at once
@@ -67,27 +67,29 @@
             (self.origin, ORIGIN, OK_HTTP, OK_HTTP.replace(b"V", b"W")),
             (self.origin, ORIGIN, OK_HTTP, b"noise\r\n"),
         )
-        for door, server, reply, excess in cases:
+        for listener, server, reply, excess in cases:
             with self.subTest(server=server, excess=excess):
                 self.script.react = once_to(server)
-                connections_before = len(door.peers)
+                connections_before = len(listener.peers)
                 first = self.ask()
-                peer = self.requested(door)
-                second = self.ask_when_served(first, peer, reply + excess, ends=not excess)
-                other_peer = self.requested(door, other_than=peer)
+                peer = self.peer_with_request(listener)
+                second = self.ask_again_when_served(first, peer, reply + excess, ends=not excess)
+                other_peer = self.peer_with_request(listener, other_than=peer)
                 other_peer.conn.send(reply)
                 self.until(lambda: second.told, "the second reply")  # noqa: B023
                 self.assertEqual((second.told, peer.got), ([b"V"], b""))
-                self.assertGreater(len(door.peers), connections_before)
+                self.assertGreater(len(listener.peers), connections_before)
                 other_peer.got = b""
 
-    def requested(self, door: RecordingListener, other_than: RecordingPeer | None = None) -> RecordingPeer:
+    def peer_with_request(
+        self, listener: RecordingListener, other_than: RecordingPeer | None = None
+    ) -> RecordingPeer:
         """The only connection at a listener on which a request was received, except `other_than`."""
-        self.until(lambda: any(peer.got for peer in door.peers if peer is not other_than), "a request")
-        [peer] = [peer for peer in door.peers if peer.got]
+        self.until(lambda: any(peer.got for peer in listener.peers if peer is not other_than), "a request")
+        [peer] = [peer for peer in listener.peers if peer.got]
         return peer
 
-    def ask_when_served(
+    def ask_again_when_served(
         self, first: RecordingHandler, peer: RecordingPeer, data: bytes, ends: bool
     ) -> RecordingHandler:
         """Send the reply to the first request, and make another one from the callback that receives it."""
@@ -104,24 +106,24 @@
             self.until(lambda: second, "a reply")
         return second[0]
 
-    def test_late_noise_costs_an_idle_connection_and_no_request(self) -> None:
+    def test_late_excess_bytes_close_an_idle_connection_and_fail_no_request(self) -> None:
         self.ask()
         node = self.at_node()
         node.conn.send(SERVED)
         self.until(lambda: self.script.ends(), "a reply")
         node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
-        asked = self.ask()
+        handler = self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: asked.told, "a reply")
-        self.assertEqual(asked.told, [b"V"])
+        self.until(lambda: handler.told, "a reply")
+        self.assertEqual(handler.told, [b"V"])
 
-    def test_a_retired_pool_finishes_what_is_in_flight_and_keeps_no_connection(self) -> None:
-        asked = self.ask()
+    def test_a_retired_pool_finishes_attempts_in_flight_and_keeps_no_connection(self) -> None:
+        handler = self.ask()
         node = self.at_node()
         self.links[NODE].retire()
         node.conn.send(SERVED)
-        self.until(lambda: asked.told and node.ends, "a reply and the end of the connection")
-        self.assertEqual(asked.told, [b"V"])
+        self.until(lambda: handler.told and node.ends, "a reply and the end of the connection")
+        self.assertEqual(handler.told, [b"V"])
 
 
 class DescriptorShortage(NetworkScene):
@@ -129,59 +131,59 @@
     STREAMS = 2
     MAX_OPEN = 3
 
-    def test_attempts_share_a_connection_up_to_the_bound(self) -> None:
-        asked = [self.ask(), self.ask(60), self.ask()]
-        self.until(lambda: asked[2].told, "the third to be refused")
+    def test_attempts_share_a_connection_up_to_the_limit(self) -> None:
+        handlers = [self.ask(), self.ask(60), self.ask()]
+        self.until(lambda: handlers[2].told, "the third to be refused")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         node = self.at_node()
-        self.until(lambda: asked[1].told, "the second to time out")
-        self.assertEqual(asked[0].told, [])  # the other attempt on the connection is not aborted
+        self.until(lambda: handlers[1].told, "the second to time out")
+        self.assertEqual(handlers[0].told, [])  # the other attempt on the connection is not aborted
         node.conn.send(SERVED * 2)
-        self.until(lambda: asked[0].told, "the first reply")
-        self.assertEqual((asked[0].told, asked[1].told), ([b"V"], ["failed"]))
+        self.until(lambda: handlers[0].told, "the first reply")
+        self.assertEqual((handlers[0].told, handlers[1].told), ([b"V"], ["failed"]))
 
-    def test_an_idle_connection_gives_its_descriptor_to_a_client_or_another_server(self) -> None:
-        asked = self.ask()
+    def test_an_idle_connection_is_closed_when_a_client_or_another_server_needs_its_descriptor(self) -> None:
+        handler = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: asked.told, "the reply")
+        self.until(lambda: handler.told, "the reply")
         client = self.client(PING)  # the listener and the idle connection hold all descriptors
         self.answers(client, b"+PONG\r\n")
         self.until(lambda: self.node.peers[0].ends, "the idle connection to end")
         client.conn.close()
         self.until(lambda: self.budget.used == 1, "the client to be closed")
-        asked = self.ask()
+        handler = self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: asked.told, "the reply")
+        self.until(lambda: handler.told, "the reply")
         self.script.react = once_to(ORIGIN)
-        asked = self.ask()
+        handler = self.ask()
         self.at_node(0, self.origin).conn.send(OK_HTTP)
-        self.until(lambda: asked.told, "the origin's reply")
+        self.until(lambda: handler.told, "the origin's reply")
         self.assertEqual(
-            (asked.told, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
+            (handler.told, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
         )
 
-    def test_clients_beyond_their_share_take_no_descriptor_from_connections_to_servers(self) -> None:
-        asked = self.ask()
+    def test_clients_beyond_their_share_do_not_close_idle_connections_to_servers(self) -> None:
+        handler = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: asked.told, "the reply")
+        self.until(lambda: handler.told, "the reply")
         self.budget.limit, self.front.capacity.share = 4, 1  # one is reserved, the listener has one
-        first = self.client(PING)
-        self.answers(first, b"+PONG\r\n")
+        first_client = self.client(PING)
+        self.answers(first_client, b"+PONG\r\n")
         self.answers(self.client(PING), b"+PONG\r\n")
-        self.until(lambda: first.ends, "the first client to end")
+        self.until(lambda: first_client.ends, "the first client to end")
         self.assertEqual((len(self.budget.idle_connections), self.node.peers[0].ends), (1, []))
 
-    def test_accepting_goes_on_when_any_descriptor_is_free_again(self) -> None:
+    def test_accepting_resumes_when_any_descriptor_becomes_free(self) -> None:
         self.budget.used += 1  # for a connection to a server: no client's end can resume accepting
-        late = self.client(PING)
+        waiting_client = self.client(PING)
         self.until(lambda: not self.front._mask, "the listener to stop accepting")
         self.budget.used -= 1
-        self.answers(late, b"+PONG\r\n")
+        self.answers(waiting_client, b"+PONG\r\n")
         self.answers(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
-        self.until(lambda: late.ends, "the idle client to be closed")
+        self.until(lambda: waiting_client.ends, "the idle client to be closed")
 
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
         self.script.react = lambda event: []
-        kept = [self.ask(), self.ask(), self.ask()]
+        handlers = [self.ask(), self.ask(), self.ask()]
         self.assertEqual(self.ask().told, [400.0])
-        self.assertEqual([one.told for one in kept], [[], [], []])
+        self.assertEqual([handler.told for handler in handlers], [[], [], []])
--- a/tests/net/test_endpoint_list_applier.py
+++ b/tests/net/test_endpoint_list_applier.py
@@ -26,88 +26,93 @@
         self.lists = self.registry._lists
         self.watch_peer = self.open_watch()
         self.watch_peer.conn.send(STREAM_HEAD)
-        self.until(lambda: self.watch()._is_answered, "the watch")
-        self.read = 0
-        really_now: Callable[[], float] = self.loop.now
-        really_read = EndpointParser.read_entry
+        self.until(lambda: self.watch()._has_response, "the watch")
+        self.entries_read = 0
+        original_now: Callable[[], float] = self.loop.now
+        original_read_entry = EndpointParser.read_entry
 
         def read_entry(parser: EndpointParser, item: object) -> object:
-            self.read += 1
-            return really_read(parser, item)
+            self.entries_read += 1
+            return original_read_entry(parser, item)
 
         for patch in (
-            mock.patch.object(self.loop, "now", lambda: really_now() + self.read * ENTRY_MS),
+            mock.patch.object(self.loop, "now", lambda: original_now() + self.entries_read * ENTRY_MS),
             mock.patch.object(EndpointParser, "read_entry", read_entry),
         ):
             patch.start()
             self.addCleanup(patch.stop)
 
-    def tell(self, *lists: bytes) -> None:
+    def receive(self, *lists: bytes) -> None:
         """Have the watch receive these lists one directly after another."""
         for text in lists:
             self.registry.on_update(self.watch(), text)
 
-    def told(self) -> dict[bytes, EndpointState]:
+    def last_states(self) -> dict[bytes, EndpointState]:
         """The last state of each server of which the balancer was notified."""
         return {endpoint.server: endpoint.state for update in self.updates for endpoint in update.endpoints}
 
-    def test_a_turn_reads_a_bounded_part_and_the_loop_turns_between(self) -> None:
-        most = APPLY_TIME_MS / ENTRY_MS + ENTRIES_PER_STEP
-        self.tell(list_text(5, entries(NEW, PORT)))
+    def test_one_event_loop_iteration_reads_a_bounded_number_of_entries(self) -> None:
+        max_entries = APPLY_TIME_MS / ENTRY_MS + ENTRIES_PER_STEP
+        self.receive(list_text(5, entries(NEW, PORT)))
         while self.lists._steps is not None:
-            before = self.read
+            read_before = self.entries_read
             self.loop.run_once()
-            self.assertLessEqual(self.read - before, most)
-        self.until(lambda: len(self.told()) == LARGE_FLEET, "all servers")
-        self.assertEqual(self.read, LARGE_FLEET)
+            self.assertLessEqual(self.entries_read - read_before, max_entries)
+        self.until(lambda: len(self.last_states()) == LARGE_FLEET, "all servers")
+        self.assertEqual(self.entries_read, LARGE_FLEET)
         self.assertEqual([update.more_follows for update in self.updates[-2:]], [True, False])
         self.assertTrue(all(len(update.endpoints) <= 2 * ENTRIES_PER_STEP for update in self.updates))
 
-    def test_a_drain_that_comes_behind_thousands_goes_before_those_that_come(self) -> None:
+    def test_a_drain_received_after_a_long_list_is_applied_before_servers_are_added(self) -> None:
         drained = server_name(KNOWN[3]).encode()
         pool = self.registry.pool_for(drained)
         assert pool is not None
-        self.tell(list_text(5, entries(NEW, PORT)), list_text(6, entries(KNOWN[3:4], PORT, status="leaving")))
-        self.until(lambda: drained in self.told(), "the drain")
-        self.assertIs(self.told()[drained], EndpointState.DRAINING)
+        self.receive(
+            list_text(5, entries(NEW, PORT)), list_text(6, entries(KNOWN[3:4], PORT, status="leaving"))
+        )
+        self.until(lambda: drained in self.last_states(), "the drain")
+        self.assertIs(self.last_states()[drained], EndpointState.DRAINING)
         self.assertIsNone(self.registry.pool_for(drained))
         self.assertIsNotNone(pool._retired_at)
         order = [endpoint.server for update in self.updates for endpoint in update.endpoints]
         self.assertLessEqual(order.index(drained), ENTRIES_PER_STEP)  # after at most one step of new servers
-        self.until(lambda: len(self.told()) == LARGE_FLEET + 1, "all other servers")
+        self.until(lambda: len(self.last_states()) == LARGE_FLEET + 1, "all other servers")
         self.assertEqual(self.registry.index, 6)
 
-    def test_who_comes_and_leaves_again_before_it_was_taken_in_never_does(self) -> None:
-        self.tell(list_text(5, entries(NEW, PORT)), list_text(6, entries(NEW, PORT, status="left")))
+    def test_a_server_that_is_removed_before_it_was_added_is_never_added(self) -> None:
+        self.receive(list_text(5, entries(NEW, PORT)), list_text(6, entries(NEW, PORT, status="left")))
         self.until(
-            lambda: not (self.lists._steps or self.lists._received or self.lists._arrivals),
+            lambda: not (self.lists._steps or self.lists._received or self.lists._pending_additions),
             "all",
         )
-        self.assertEqual(set(self.told().values()), {EndpointState.GONE})
+        self.assertEqual(set(self.last_states().values()), {EndpointState.GONE})
         self.assertFalse(any(self.registry.pool_for(server_name(number).encode()) for number in NEW))
 
-    def test_two_whole_lists_that_differ_in_everything_leave_the_second(self) -> None:
-        other = range(9000, 9000 + LARGE_FLEET)
-        self.tell(
+    def test_a_snapshot_replaces_a_completely_different_one(self) -> None:
+        other_numbers = range(9000, 9000 + LARGE_FLEET)
+        self.receive(
             list_text(5, entries(NEW, PORT), is_snapshot=True),
-            list_text(3, entries(other, PORT), is_snapshot=True),
+            list_text(3, entries(other_numbers, PORT), is_snapshot=True),
         )
-        ready = {server_name(number).encode() for number in other}
+        ready = {server_name(number).encode() for number in other_numbers}
         self.until(
-            lambda: {one for one, state in self.told().items() if state is EndpointState.READY} == ready,
+            lambda: (
+                {server for server, state in self.last_states().items() if state is EndpointState.READY}
+                == ready
+            ),
             "the second list",
         )
         self.assertEqual(set(self.registry._directory.servers()), ready)
 
-    def test_the_same_list_again_changes_nothing(self) -> None:
-        self.tell(list_text(5, entries(NEW, PORT), is_snapshot=True))
-        self.until(lambda: len(self.told()) == len(KNOWN) + LARGE_FLEET, "the list")
+    def test_an_identical_snapshot_changes_nothing(self) -> None:
+        self.receive(list_text(5, entries(NEW, PORT), is_snapshot=True))
+        self.until(lambda: len(self.last_states()) == len(KNOWN) + LARGE_FLEET, "the list")
         updates_before = len(self.updates)
-        self.tell(list_text(6, entries(NEW, PORT)[::-1], is_snapshot=True))
+        self.receive(list_text(6, entries(NEW, PORT)[::-1], is_snapshot=True))
         self.until(lambda: len(self.updates) > updates_before, "the second list")
         self.assertEqual([update.endpoints for update in self.updates[updates_before:]], [[]])
 
-    def test_a_long_line_that_comes_slowly_is_no_silence(self) -> None:
+    def test_progress_within_a_long_line_restarts_the_silence_timer(self) -> None:
         line = chunks(list_text(5, entries(NEW, PORT)))
         half = len(line) // 2
         timer = self.watch()._silence_timer
@@ -115,4 +120,4 @@
         self.until(lambda: self.watch()._silence_timer is not timer, "the silence timer to be restarted")
         self.assertEqual(self.updates, list[EndpointUpdate]())
         self.watch_peer.conn.send(line[half:])
-        self.until(lambda: len(self.told()) == LARGE_FLEET, "the list")
+        self.until(lambda: len(self.last_states()) == LARGE_FLEET, "the list")
--- a/tests/net/test_endpoint_parser.py
+++ b/tests/net/test_endpoint_parser.py
@@ -10,34 +10,36 @@
 
 
 class EndpointLists(unittest.TestCase):
-    def test_a_list_gives_its_version_endpoints_and_addresses(self) -> None:
-        found = PARSER.read(listing())
-        self.assertEqual((found.version, found.is_snapshot), (4, True))
-        self.assertEqual(found.addresses, {b"s-1": ("127.0.0.1", 6379)})
+    def test_a_list_is_parsed_into_version_endpoints_and_addresses(self) -> None:
+        endpoint_list = PARSER.read(listing())
+        self.assertEqual((endpoint_list.version, endpoint_list.is_snapshot), (4, True))
+        self.assertEqual(endpoint_list.addresses, {b"s-1": ("127.0.0.1", 6379)})
         ready = Endpoint(b"s-1", EndpointState.READY, 1.0, 1796120872235.0, 1, 3, 1)
-        self.assertEqual(found.endpoints, [ready])
-        found = PARSER.read(listing(status="left", address="", since_ms=0))
-        [gone] = found.endpoints
-        self.assertEqual((gone.state, gone.started_at, found.addresses), (EndpointState.GONE, 0.0, {}))
-
-    def test_a_list_without_its_parts_is_an_error(self) -> None:
+        self.assertEqual(endpoint_list.endpoints, [ready])
+        endpoint_list = PARSER.read(listing(status="left", address="", since_ms=0))
+        [gone] = endpoint_list.endpoints
+        self.assertEqual(
+            (gone.state, gone.started_at, endpoint_list.addresses), (EndpointState.GONE, 0.0, {})
+        )
+
+    def test_a_list_with_missing_or_invalid_fields_is_an_error(self) -> None:
         trees: list[object] = [[], {}, {"index": "4", "endpoints": []}, {"index": 4, "endpoints": {}}]
         for tree in trees:
             with self.subTest(tree=tree), self.assertRaises(ValueError):
                 PARSER.read(tree)
 
-    def test_a_leaving_endpoint_needs_only_its_name_and_status(self) -> None:
-        for more in ({}, {"zone": "c"}, {"type": 5}, {"address": "x"}, {"since_ms": "x"}):
+    def test_a_draining_or_gone_endpoint_needs_only_its_name_and_status(self) -> None:
+        for fields in ({}, {"zone": "c"}, {"type": 5}, {"address": "x"}, {"since_ms": "x"}):
             for status in ("leaving", "left"):
-                with self.subTest(more=more, status=status):
-                    found = PARSER.read(
-                        {"index": 4, "endpoints": [{"name": "s-1", **more, "status": status}]}
+                with self.subTest(fields=fields, status=status):
+                    endpoint_list = PARSER.read(
+                        {"index": 4, "endpoints": [{"name": "s-1", **fields, "status": status}]}
                     )
-                    self.assertEqual(found.endpoints, [Endpoint(b"s-1", EndpointState.GONE)])
-                    self.assertEqual(found.addresses, {})
+                    self.assertEqual(endpoint_list.endpoints, [Endpoint(b"s-1", EndpointState.GONE)])
+                    self.assertEqual(endpoint_list.addresses, {})
 
-    def test_a_bad_endpoint_hides_no_other(self) -> None:
-        more: list[dict[str, object]] = [
+    def test_an_invalid_endpoint_does_not_hide_the_others(self) -> None:
+        invalid_fields: list[dict[str, object]] = [
             {"status": "asleep"},
             {"zone": "c"},
             {"type": "m3"},
@@ -50,8 +52,8 @@
             {"since_ms": -1},
             {"since_ms": True},
         ]
-        entries = [*({**ENTRY, **one} for one in more), "s-2", None, ENTRY]
+        entries = [*({**ENTRY, **fields} for fields in invalid_fields), "s-2", None, ENTRY]
         with mock.patch("builtins.print"):
-            found = PARSER.read({"index": 4, "endpoints": entries})
-        self.assertEqual([entry.server for entry in found.endpoints], [b"s-1"])
-        self.assertEqual(list(found.addresses), [b"s-1"])
+            endpoint_list = PARSER.read({"index": 4, "endpoints": entries})
+        self.assertEqual([entry.server for entry in endpoint_list.endpoints], [b"s-1"])
+        self.assertEqual(list(endpoint_list.addresses), [b"s-1"])
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -12,7 +12,7 @@
 
 
 class Updates(DiscoveryScene):
-    def test_one_watch_is_resumed_by_version_and_each_line_is_an_update(self) -> None:
+    def test_a_watch_is_resumed_by_version_and_each_line_is_an_update(self) -> None:
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
         peer = self.follow(b"", delta(9, address="127.0.0.1:6380"))
@@ -29,7 +29,7 @@
         self.assertIn(b"index=11", self.follow(json.dumps(listing()).encode()).got)
         self.until(lambda: len(self.updates) == 4, "a snapshot")
         self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is listed again
-        self.assertEqual([one.server for one in self.updates[3].endpoints], [b"s-1"])
+        self.assertEqual([endpoint.server for endpoint in self.updates[3].endpoints], [b"s-1"])
 
 
 class StartTimes(DiscoveryScene):
@@ -37,7 +37,7 @@
 
     HOUR_MS = 3_600_000.0
 
-    def age_told(self, since: float, name: str) -> float:
+    def notified_age(self, since: float, name: str) -> float:
         """The age in ms that the balancer computes for a server that is listed now with this start."""
         updates_before = len(self.updates)
         self.registry.open_watch()
@@ -58,10 +58,10 @@
     def test_a_server_that_started_after_a_step_of_the_wall_clock_has_its_real_age(self) -> None:
         for number, by_ms in enumerate((-self.HOUR_MS, self.HOUR_MS, -5000.0, 5000.0)):
             self.step(by_ms)
-            age = self.age_told(self.loop.now() + by_ms - 300, f"s-{number}")
+            age = self.notified_age(self.loop.now() + by_ms - 300, f"s-{number}")
             self.assertTrue(200 <= age <= 2000, f"{age:.0f} ms after a step of {by_ms:.0f} ms")
-        in_the_future = self.age_told(self.loop.now() + 2 * self.HOUR_MS, "s-9")
-        self.assertTrue(0 <= in_the_future <= 2000, in_the_future)
+        age_of_future_start = self.notified_age(self.loop.now() + 2 * self.HOUR_MS, "s-9")
+        self.assertTrue(0 <= age_of_future_start <= 2000, age_of_future_start)
 
 
 class ImplausibleStarts(DiscoveryScene):
@@ -75,7 +75,7 @@
         self.until(lambda: len(self.updates) > count, "the change")
         return self.loop.now() - self.updates[-1].endpoints[0].started_at
 
-    def test_a_server_that_is_new_on_a_live_watch_has_started_lately(self) -> None:
+    def test_a_server_first_listed_on_a_live_watch_has_recently_started(self) -> None:
         an_hour_ago = self.loop.now() - self.HOUR_MS
         self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
@@ -87,7 +87,7 @@
         self.assertGreater(self.age_of(delta(8, name="s-3", since_ms=few_seconds_ago)), 8999)
         self.assertEqual(self.updates[-1].endpoints[0].server, b"s-3")
 
-    def test_a_server_that_left_the_list_and_comes_back_without_a_new_start_is_as_old_as_it_was(self) -> None:
+    def test_a_removed_server_that_is_listed_again_with_the_same_start_keeps_its_age(self) -> None:
         an_hour_ago = self.loop.now() - self.HOUR_MS
         self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
@@ -103,7 +103,7 @@
         self.moved = RecordingListener(self.loop)
         self.addCleanup(self.moved.close)
 
-    def test_the_watch_is_resumed_and_the_previous_one_heard_until_the_new_one_speaks(self) -> None:
+    def test_the_watch_is_resumed_and_the_previous_one_read_until_the_new_one_delivers(self) -> None:
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
         previous = self.follow()
@@ -126,11 +126,11 @@
         self.assertIsNot(self.registry.pool_for(b"s-1"), pool)
         self.assertEqual((len(self.discovery.peers), len(self.moved.peers)), (1, 1))
 
-    def test_what_is_unread_on_the_previous_watch_is_told_when_the_new_one_speaks(self) -> None:
+    def test_unread_updates_of_the_previous_watch_are_applied_when_the_new_one_delivers(self) -> None:
         self.registry.load_cached(listing())
         previous = self.follow(b"")
         previous_watch = self.watch()
-        self.until(lambda: previous_watch._is_answered, "the watch")
+        self.until(lambda: previous_watch._has_response, "the watch")
         self.registry.move_watch(self.moved.address)
         leaving = {"index": 9, "snapshot": False, "endpoints": [{"name": "s-1", "status": "leaving"}]}
         previous.conn._sock.sendall(chunks(json.dumps(leaving).encode()))
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -23,8 +23,8 @@
     return mock.patch.object(endpoint_watch, "WATCH_SILENCE_TIMEOUT_MS", timeout_ms)
 
 
-class ListOnTheWatch(DiscoveryScene):
-    def test_an_indented_list_is_one_object_whatever_the_reads(self) -> None:
+class IndentedLists(DiscoveryScene):
+    def test_an_indented_list_split_over_several_reads_is_one_update(self) -> None:
         leaving = {"index": 9, "snapshot": False, "endpoints": [{**ENTRY, "status": "leaving"}]}
         lines = json.dumps(leaving, indent=2).encode().split(b"\n")
         peer = self.follow(*lines[:7])
@@ -35,7 +35,7 @@
 
 
 class SilentWatch(DiscoveryScene):
-    def test_a_watch_whose_bytes_complete_nothing_is_silent(self) -> None:
+    def test_bytes_that_complete_no_object_do_not_keep_a_watch_open(self) -> None:
         for start, more in (
             (b"HTTP/1.1 200 OK\r\nX: ", b"x"),
             (STREAM_HEAD + b"3\r\n{\n\n\r\n", b"1\r\n \r\n"),
@@ -55,22 +55,22 @@
             peer.conn.send(data)
             self.loop.call_at(self.loop.now() + 5, lambda: self.trickle(peer, data))
 
-    def test_what_was_written_during_a_stall_is_read_before_the_watch_is_given_up(self) -> None:
+    def test_updates_written_during_a_stall_are_read_before_the_silent_watch_ends(self) -> None:
         self.registry.load_cached(listing())
         peer = self.follow(b"")
         watch = self.watch()
         self.until(lambda: not watch._connection.connecting, "the watch")
         watch._connection.read_available()
         peer.conn.send(chunks(delta(9, status="leaving")))
-        watch._on_silence()  # the timeout passed while the line was unread
+        watch._on_silence_timeout()  # the timeout passed while the line was unread
         self.assertEqual(self.update_kinds(), ["DELTA"])
         self.assertIsNone(self.registry.pool_for(b"s-1"))
-        watch._on_silence()  # nothing is unread any more
+        watch._on_silence_timeout()  # nothing is unread any more
         self.assertEqual(self.update_kinds(), ["DELTA", "FAILED"])
 
 
 class FailedWatch(DiscoveryScene):
-    def test_a_bad_line_or_status_ends_the_watch(self) -> None:
+    def test_an_invalid_line_or_status_ends_the_watch(self) -> None:
         for lines, status in (((b"{]",), b"200 OK"), ((b"[1]",), b"200 OK"), ((), b"503 No")):
             with self.subTest(lines=lines, status=status):
                 self.follow(*lines, status=status)
@@ -78,7 +78,7 @@
                 self.assertIs(self.updates.pop().kind, EndpointUpdateKind.FAILED)
         self.assertEqual(len(self.discovery.peers), 3)
 
-    def test_a_break_silence_or_refusal_is_a_failed_watch(self) -> None:
+    def test_a_reset_silence_or_refused_connection_is_a_failed_watch(self) -> None:
         self.open_watch().reset()
         self.until(lambda: self.updates, "the reset")
         with silence_timeout(50.0):
@@ -90,22 +90,22 @@
         self.assertEqual(self.update_kinds(), ["FAILED"] * 3)
 
 
-class Unreachable(DiscoveryScene):
-    def test_a_call_whose_connection_does_not_come_up_is_given_up_before_it_counts_as_silent(self) -> None:
+class UnreachableDiscovery(DiscoveryScene):
+    def test_the_connect_timeout_ends_a_watch_before_the_silence_timeout(self) -> None:
         """A connection attempt that started while discovery was unreachable may never succeed, even after
         discovery has become reachable again."""
         with mock.patch.object(Connection, "_ready"):  # the connection is never established
             self.registry.open_watch()
-            begun_at = self.loop.now()
+            started_at = self.loop.now()
             self.until(lambda: self.updates, "the connect timeout")
         self.assertEqual(self.update_kinds(), ["FAILED"])
-        self.assertLess(self.loop.now() - begun_at, WATCH_SILENCE_TIMEOUT_MS / 2)
+        self.assertLess(self.loop.now() - started_at, WATCH_SILENCE_TIMEOUT_MS / 2)
 
 
-class Stall(unittest.TestCase):
+class StalledProcess(unittest.TestCase):
     """What the watch requires of the event loop after a stall of the process."""
 
-    def test_after_a_stall_all_that_is_ready_is_looked_for_and_the_list_goes_first(self) -> None:
+    def test_after_a_stall_all_ready_sockets_are_found_and_the_endpoint_list_is_first(self) -> None:
         order = list[str]()
         clock = [1000.0]
         loop = EventLoop()
@@ -116,13 +116,13 @@
             rank = WatchRank.ENDPOINT_LIST if name == "list" else WatchRank.OTHER
             loop.watch(near, 0, READ, lambda _, name=name: order.append(name), rank)  # type: ignore[misc]
             far.send(b"x")
-        really_select: Any = loop._selector.select
+        original_select: Any = loop._selector.select
 
         def select(timeout: float | None) -> Any:
             if timeout == 0:
-                return really_select(0)
+                return original_select(0)
             clock[0] += 3000  # the process is stopped when the first socket becomes ready, and then resumed
-            return really_select(0)[:1]
+            return original_select(0)[:1]
 
         loop.call_at(5000, lambda: None)
         with (
--- a/tests/net/test_json_object_stream.py
+++ b/tests/net/test_json_object_stream.py
@@ -20,10 +20,10 @@
 
 
 class JsonObjects(unittest.TestCase):
-    def test_objects_are_read_whole_or_indented(self) -> None:
+    def test_objects_on_one_line_or_indented_are_read(self) -> None:
         tree = listing(name='a{"[\\')
         flat, indented = json.dumps(tree), json.dumps(tree, indent=2)
-        for text, found in (
+        for text, expected in (
             (flat, [tree]),
             (indented, [tree]),
             (f"\n{indented}\n  \n{flat}\n{indented}\n", [tree] * 3),
@@ -33,10 +33,10 @@
             with self.subTest(text=text):
                 objects = JsonObjectStream(MAX_BYTES)
                 lines = text.encode().split(b"\n")
-                texts = [one for line in lines for one in objects.feed_line(line)]
-                self.assertEqual([decoded(one) for one in texts], found)
+                texts = [object_text for line in lines for object_text in objects.feed_line(line)]
+                self.assertEqual([decoded(object_text) for object_text in texts], expected)
 
-    def test_what_is_not_json_too_long_or_too_deep_is_an_error(self) -> None:
+    def test_invalid_too_long_or_too_deeply_nested_json_is_an_error(self) -> None:
         for text in (
             "{]",
             "}",
@@ -48,5 +48,5 @@
             with self.subTest(text=text[:9]), self.assertRaises(ValueError):
                 objects = JsonObjectStream(MAX_BYTES)
                 for line in text.encode().split(b"\n"):
-                    for one in objects.feed_line(line):
-                        decoded(one)
+                    for object_text in objects.feed_line(line):
+                        decoded(object_text)
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -41,9 +41,9 @@
 class AttemptOutcomes(NetworkScene):
     """CONNECT_FAILED proves that an attempt has not run; after RESET it may have run."""
 
-    def outcome(self, asked: RecordingHandler) -> str:
-        self.until(lambda: asked.told, "a final answer")
-        self.assertEqual(asked.told, ["failed"])
+    def outcome(self, handler: RecordingHandler) -> str:
+        self.until(lambda: handler.told, "a final answer")
+        self.assertEqual(handler.told, ["failed"])
         return self.script.ends()[0][1]
 
     def origin_reader(self) -> OriginReplyReader:
@@ -55,8 +55,8 @@
         self.node.close()
         self.assertEqual(self.outcome(self.ask()), "CONNECT_FAILED")
 
-    def test_a_break_before_the_last_byte_was_written_is_connect_failed(self) -> None:
-        asked = self.ask()
+    def test_a_reset_before_the_last_byte_was_written_is_connect_failed(self) -> None:
+        handler = self.ask()
         [upstream] = self.links[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = mock.patch(
@@ -65,14 +65,14 @@
         with large, mock.patch("tests.support.network_scene.RecordingPeer.on_data"):  # the node does not read
             self.until(lambda: self.node.peers and upstream.connection.bytes_sent, "some bytes")
             self.node.peers[0].reset()
-            self.assertEqual(self.outcome(asked), "CONNECT_FAILED")
+            self.assertEqual(self.outcome(handler), "CONNECT_FAILED")
 
-    def test_a_break_after_the_last_byte_was_written_is_a_reset(self) -> None:
-        asked = self.ask()
+    def test_a_close_after_the_last_byte_was_written_is_a_reset(self) -> None:
+        handler = self.ask()
         node = self.at_node()
         node.conn.send(SERVED[:-3])  # an incomplete reply
         node.conn.close_gracefully()
-        self.assertEqual(self.outcome(asked), "RESET")
+        self.assertEqual(self.outcome(handler), "RESET")
 
     def test_each_close_is_counted_with_its_reason(self) -> None:
         closed = metrics.connections_closed
@@ -82,22 +82,22 @@
             ("server_invalid_reply", lambda peer: peer.conn.send(b"?\r\n")),
         ):
             before = Counter(closed)
-            asked = self.ask()
+            handler = self.ask()
             end(self.at_node(len(self.node.peers)))
-            self.until(lambda: asked.told, "a final answer")  # noqa: B023
+            self.until(lambda: handler.told, "a final answer")  # noqa: B023
             self.assertEqual(closed - before, {name: 1})
 
     def test_a_busy_reply_is_a_rejection(self) -> None:
-        asked = self.ask()
+        handler = self.ask()
         self.at_node().conn.send(b"-BUSY\r\n")
-        self.assertEqual(self.outcome(asked), "REJECTED")
+        self.assertEqual(self.outcome(handler), "REJECTED")
 
     def test_an_invalid_reply_is_a_reset(self) -> None:
-        asked = self.ask()
+        handler = self.ask()
         self.at_node().conn.send(b"?\r\n")
-        self.assertEqual(self.outcome(asked), "RESET")
+        self.assertEqual(self.outcome(handler), "RESET")
 
-    def test_a_response_without_a_length_is_whole_only_at_an_orderly_end(self) -> None:
+    def test_a_response_without_a_length_is_complete_only_at_an_orderly_close(self) -> None:
         self.script.react = once_to(ORIGIN)
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
         cases: list[tuple[Callable[[RecordingPeer], None], str]] = [
@@ -107,20 +107,20 @@
         ]
         for number, (end, outcome) in enumerate(cases):
             with self.subTest(outcome=outcome):
-                asked = self.ask()
+                handler = self.ask()
                 origin = self.at_node(number, self.origin)
                 origin.conn.send(head + b"VAL")
                 self.until(lambda: self.origin_reader()._response_reader.current.body, "a part of the body")
-                self.assertFalse(asked.told)
+                self.assertFalse(handler.told)
                 end(origin)
-                self.until(lambda: asked.told, "a final answer")  # noqa: B023
+                self.until(lambda: handler.told, "a final answer")  # noqa: B023
                 self.assertEqual(self.script.ends()[-1][1], outcome)
-                self.assertEqual(asked.told, [b"VAL" if outcome == "OK" else "failed"])
+                self.assertEqual(handler.told, [b"VAL" if outcome == "OK" else "failed"])
 
     def test_no_reply_by_the_deadline_closes_the_connection(self) -> None:
-        asked = self.ask(60)
+        handler = self.ask(60)
         node = self.at_node()
-        self.assertEqual(self.outcome(asked), "TIMEOUT")
+        self.assertEqual(self.outcome(handler), "TIMEOUT")
         self.until(lambda: node.ends, "the end of the connection")
 
 
@@ -144,40 +144,40 @@
         node.conn.send(MISSED)
         return 900 - (answered_at - sent_at)
 
-    def assert_labels(self, labels: bytes, left: float) -> None:
+    def assert_labels(self, labels: bytes, remaining: float) -> None:
         """Check that all labels are unchanged and in order, with a `d` of at most the remaining time."""
         before, _, rest = labels.partition(b"d=")
-        told, _, after = rest.partition(b",")
+        forwarded_deadline, _, after = rest.partition(b",")
         self.assertEqual((before, after), (b"c=read,k=5c,", b"r=1,size=3"))
-        self.assertLessEqual(int(told), left + 0.5)  # rounded to whole milliseconds
-        self.assertGreater(int(told), 0)
+        self.assertLessEqual(int(forwarded_deadline), remaining + 0.5)  # rounded to whole milliseconds
+        self.assertGreater(int(forwarded_deadline), 0)
 
-    def check_origin_is_told(self, data: bytes) -> None:
-        left = self.miss_after(80, data, ORIGIN)
+    def check_deadline_at_origin(self, data: bytes) -> None:
+        remaining = self.miss_after(80, data, ORIGIN)
         origin = self.at_node(0, self.origin)
-        self.assert_labels(origin.got.split(b"X-Labels: ")[1].split(b"\r\n")[0], left)
+        self.assert_labels(origin.got.split(b"X-Labels: ")[1].split(b"\r\n")[0], remaining)
 
-    def test_the_origin_is_told_the_time_that_a_miss_leaves_a_read(self) -> None:
-        self.check_origin_is_told(self.command(b"OBJ.GET"))
+    def test_the_deadline_forwarded_to_the_origin_after_a_read_miss_is_the_remaining_time(self) -> None:
+        self.check_deadline_at_origin(self.command(b"OBJ.GET"))
 
-    def test_the_origin_is_told_the_time_that_a_miss_leaves_a_write(self) -> None:
-        self.check_origin_is_told(self.command(b"OBJ.SET", b"V"))
+    def test_the_deadline_forwarded_to_the_origin_after_a_write_miss_is_the_remaining_time(self) -> None:
+        self.check_deadline_at_origin(self.command(b"OBJ.SET", b"V"))
 
-    def test_a_second_cache_node_is_told_the_time_that_the_first_leaves(self) -> None:
+    def test_the_deadline_forwarded_to_a_second_cache_node_is_the_remaining_time(self) -> None:
         second = RecordingListener(self.loop)
         self.addCleanup(second.close)
         self.links[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
-        left = self.miss_after(80, self.command(b"OBJ.GET"), b"s-second")
+        remaining = self.miss_after(80, self.command(b"OBJ.GET"), b"s-second")
         labels = self.at_node(0, second).got.split(b"\r\n")[8]
-        self.assert_labels(labels, left)
+        self.assert_labels(labels, remaining)
 
 
-class HalfWrittenAttempts(NetworkScene):
+class PartlyWrittenAttempts(NetworkScene):
     """A server runs a command once its last byte has arrived, so the rules for sends apply to that byte."""
 
-    SOON_MS = 400.0  # well before the deadline of the request
+    MAX_DELAY_MS = 400.0  # well before the deadline of the request
 
-    def write_half(self) -> None:
+    def block_next_write(self) -> None:
         """Have the next attempt written only partly, to a node that stops reading."""
         for patch in (
             mock.patch("tests.support.network_scene.CacheNodeProtocol.encode", return_value=b"x" * 1_000_000),
@@ -188,29 +188,29 @@
 
         self.node.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
-    def until_half_written(self) -> None:
+    def until_partly_written(self) -> None:
         self.until(lambda: self.links[NODE]._busy, "a connection")
         [upstream] = self.links[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.until(lambda: upstream.connection.bytes_sent, "some bytes")
         self.assertTrue(len(upstream.connection.outbox))
-        self.begun_at = self.loop.now()
+        self.write_started_at = self.loop.now()
 
-    def assert_never_ran_soon(self) -> None:
+    def assert_aborted_in_time(self) -> None:
         self.until(lambda: self.script.ends(), "the end of the attempt")
         self.assertEqual(self.script.ends()[0][1], "CONNECT_FAILED")
-        self.assertLess(self.loop.now() - self.begun_at, self.SOON_MS)
+        self.assertLess(self.loop.now() - self.write_started_at, self.MAX_DELAY_MS)
         self.assertFalse(self.links[NODE]._busy)  # the connection is closed, so no byte follows
 
-    def test_the_rest_is_not_written_after_its_client_has_left(self) -> None:
-        self.write_half()
+    def test_the_rest_is_not_written_after_the_client_disconnected(self) -> None:
+        self.block_next_write()
         client = self.client(get())
-        self.until_half_written()
+        self.until_partly_written()
         client.conn.close()
-        self.assert_never_ran_soon()
+        self.assert_aborted_in_time()
 
-    def test_the_rest_is_not_written_after_the_window_or_when_the_time_told_is_no_longer_left(self) -> None:
-        self.write_half()
+    def test_the_rest_is_not_written_after_the_window_or_the_maximum_write_time(self) -> None:
+        self.block_next_write()
         for window_ms in (30.0, inf):
             self.script.events.clear()
             self.node.peers.clear()
@@ -222,8 +222,8 @@
                 else Fail(e.request_id)
             ]
             self.ask()
-            self.until_half_written()
-            self.assert_never_ran_soon()
+            self.until_partly_written()
+            self.assert_aborted_in_time()
             self.assertTrue(window_ms == inf or self.loop.now() - start_by < 60)
 
 
@@ -232,7 +232,7 @@
 
     def __init__(self) -> None:
         self.held = list[Connection]()
-        self._really_ready = Connection._ready
+        self._original_ready = Connection._ready
         self._patch = mock.patch.object(Connection, "_ready", self._make_ready())
         self._patch.start()
 
@@ -243,7 +243,7 @@
                 connection._loop.watch(connection._sock, connection._mask, 0, connection._ready)
                 connection._mask = 0
             else:
-                self._really_ready(connection, mask)
+                self._original_ready(connection, mask)
 
         return ready
 
@@ -266,7 +266,7 @@
         self.addCleanup(delayed.stop)
         return delayed
 
-    def test_an_attempt_whose_client_has_left_is_not_sent(self) -> None:
+    def test_an_attempt_whose_client_disconnected_is_not_sent(self) -> None:
         for way in ("closed", "reset"):
             with self.subTest(way=way):
                 delayed = self.delay_connections()
@@ -286,9 +286,9 @@
                 node.got = b""
                 self.links[NODE].retire()
                 self.links[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
-        self.assertEqual([one[1] for one in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
+        self.assertEqual([end[1] for end in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
 
-    def test_without_the_send_guard_the_invariants_count_what_goes_wrong(self) -> None:
+    def test_without_the_send_guard_the_invariants_count_the_violations(self) -> None:
         """The invariants are checked in the same place as the guard, but independently of it."""
         violations = metrics.invariant_violations
         before = Counter(violations)
@@ -306,13 +306,13 @@
             violations - before, {"not_sent_after_client_left": 1, "not_sent_to_leaving_server": 1}
         )
 
-    def test_no_attempt_is_sent_to_a_server_that_has_begun_to_leave(self) -> None:
+    def test_no_attempt_is_sent_to_a_retired_server(self) -> None:
         delayed = self.delay_connections()
-        asked = self.ask()
+        handler = self.ask()
         self.until(lambda: delayed.held, "a connection")
         self.links[NODE].retire()
         delayed.release()
-        self.until(lambda: asked.told, "a final answer")
+        self.until(lambda: handler.told, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.until(lambda: self.node.peers and self.node.peers[0].ends, "the end of the connection")
         self.assertEqual(self.node.peers[0].got, b"")
@@ -324,35 +324,35 @@
             else [Fail(1)]
         )
         delayed = self.delay_connections()
-        asked = self.ask()
+        handler = self.ask()
         self.until(lambda: delayed.held, "a connection")
         wait_until(self, self.loop.now() + 31)  # after the end of the window
         delayed.release()
-        self.until(lambda: asked.told, "a final answer")
+        self.until(lambda: handler.told, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.assertEqual(self.node.peers[0].got, b"")
 
-    def test_the_wait_for_a_connection_is_taken_off_the_time_that_the_server_is_told(self) -> None:
-        for server, door in ((NODE, self.node), (ORIGIN, self.origin)):
+    def test_the_wait_for_a_connection_is_subtracted_from_the_forwarded_deadline(self) -> None:
+        for server, listener in ((NODE, self.node), (ORIGIN, self.origin)):
             with self.subTest(server=server):
                 delayed = self.delay_connections()
                 self.script.react = once_to(server)
                 self.ask()
-                asked_at = self.loop.now()
+                requested_at = self.loop.now()
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
-                wait_until(self, asked_at + 60)
-                left = 900 - (self.loop.now() - asked_at)
+                wait_until(self, requested_at + 60)
+                remaining = 900 - (self.loop.now() - requested_at)
                 delayed.release()
-                told = self.at_node(0, door).got.split(b"d=")[1].split(b"\r\n")[0]
-                self.assertLessEqual(int(told), left + 0.5)
+                forwarded_deadline = self.at_node(0, listener).got.split(b"d=")[1].split(b"\r\n")[0]
+                self.assertLessEqual(int(forwarded_deadline), remaining + 0.5)
 
-    def test_an_attempt_that_is_unsent_at_its_deadline_never_ran(self) -> None:
+    def test_an_attempt_that_is_unsent_at_its_deadline_is_connect_failed(self) -> None:
         self.delay_connections()
-        asked = self.ask(60)
-        self.until(lambda: asked.told, "a final answer")
+        handler = self.ask(60)
+        self.until(lambda: handler.told, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
 
-    def test_an_abandoned_attempt_behind_others_is_not_sent(self) -> None:
+    def test_an_abandoned_attempt_queued_behind_others_is_not_sent(self) -> None:
         delayed = self.delay_connections()
         first = self.ask()
         self.until(lambda: delayed.held, "a connection")
