--- a/lupinladder/net/discovery/endpoint_list_decoder.py
+++ b/lupinladder/net/discovery/endpoint_list_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the text of an endpoint list entry by entry, so that a long one can be read in steps. No I/O."""
+"""Decodes the JSON of an endpoint list entry by entry, so that a long one can be read in steps. No I/O."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 
 
 class EndpointListDecoder:
-    """One JSON object, whose entries are given one after another; its other fields are kept."""
+    """Decodes one JSON object: yields its entries one after another, and keeps its other fields."""
 
     def __init__(self, text: bytes) -> None:
-        """Raises ValueError for what is not UTF-8."""
+        """Raises ValueError if the text is not UTF-8."""
         self._text = text.decode()
         self._position = 0
-        self.fields: dict[str, Any] = {}  # complete once all entries have been given
+        self.fields: dict[str, Any] = {}  # complete once all entries were yielded
 
     def entries(self) -> Iterator[object]:
-        """The entries in their order. Raises ValueError where the text is no object with a list of them."""
+        """Yield the entries in order. Raises ValueError if the text is not an object with a list of them."""
         self._expect("{")
         has_entries = False
         if self._peek() != "}":
             while True:
-                key = self._value()
+                key = self._read_value()
                 self._expect(":")
                 if key == ENTRIES_KEY and self._peek() == "[":
                     has_entries = True
-                    yield from self._array()
+                    yield from self._read_entries()
                 else:
-                    self.fields[str(key)] = self._value()
+                    self.fields[str(key)] = self._read_value()
                 if self._peek() != ",":
                     break
                 self._expect(",")
         self._expect("}")
         if self._peek() or not has_entries:
-            self._fail("the end of an object with entries")
+            self._fail("the end of an object with a list of entries")
 
-    def _array(self) -> Iterator[object]:
+    def _read_entries(self) -> Iterator[object]:
         self._expect("[")
         if self._peek() != "]":
             while True:
-                yield self._value()
+                yield self._read_value()
                 if self._peek() != ",":
                     break
                 self._expect(",")
         self._expect("]")
 
-    def _value(self) -> Any:
-        """The JSON value that begins here."""
+    def _read_value(self) -> Any:
+        """Decode the JSON value at the current position."""
         self._skip_whitespace()
         try:
             value, self._position = _DECODER.raw_decode(self._text, self._position)
         except RecursionError:
-            self._fail("a value that is not nested too deep")
+            self._fail("a less deeply nested value")
         return value
 
     def _skip_whitespace(self) -> None:
-        found = _WHITESPACE.match(self._text, self._position)
-        if found is not None:
-            self._position = found.end()
+        whitespace = _WHITESPACE.match(self._text, self._position)
+        if whitespace is not None:
+            self._position = whitespace.end()
 
     def _peek(self) -> str:
-        """The next character that is no white space; empty at the end."""
+        """The next character that is not white space; empty at the end."""
         self._skip_whitespace()
         return self._text[self._position : self._position + 1]
 
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The registry of endpoints: what it makes of updates, and which watch it listens to."""
+"""The endpoint registry: how it applies updates, and from which watch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Updates(DiscoveryScene):
-    def test_one_watch_is_resumed_by_version_and_each_line_is_an_update(self) -> None:
+    def test_a_watch_is_resumed_by_version_and_each_line_is_an_update(self) -> None:
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
         peer = self.follow(b"", delta(9, address="127.0.0.1:6380"))
@@ -20,25 +20,25 @@
         self.until(lambda: self.updates, "a change")
         self.assertEqual((self.updates[0].kind, self.updates[0].version), (EndpointUpdateKind.DELTA, 9))
         self.assertIsNot(self.registry.pool_for(b"s-1"), pool)
-        self.registry.open_watch()  # while it is open: no second request
+        self.registry.open_watch()  # no second request while a watch is open
         peer.conn.send(chunks(delta(11, status="left")) + b"0\r\n\r\n")
-        self.until(lambda: len(self.updates) == 3, "a change and the end")
+        self.until(lambda: len(self.updates) == 3, "a change and the end of the watch")
         self.assertIsNone(self.registry.pool_for(b"s-1"))
         self.assertEqual(self.update_kinds(), ["DELTA", "DELTA", "FAILED"])
         self.assertEqual(len(self.discovery.peers), 1)
         self.assertIn(b"index=11", self.follow(json.dumps(listing()).encode()).got)
-        self.until(lambda: len(self.updates) == 4, "a whole list")
-        self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is back
-        self.assertEqual([one.server for one in self.updates[3].endpoints], [b"s-1"])
+        self.until(lambda: len(self.updates) == 4, "a snapshot")
+        self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is listed again
+        self.assertEqual([endpoint.server for endpoint in self.updates[3].endpoints], [b"s-1"])
 
 
 class StartTimes(DiscoveryScene):
-    """Start times in the list are wall-clock time, which may be stepped; ages are spans of real time."""
+    """Start times in the list are wall-clock times, and the wall clock may be stepped; ages must be real."""
 
     HOUR_MS = 3_600_000.0
 
-    def age_told(self, since: float, name: str) -> float:
-        """The age at which a server is told that is listed now with this start, in ms."""
+    def notified_age(self, since: float, name: str) -> float:
+        """The age in ms that the balancer computes for a server that is listed now with this start."""
         updates_before = len(self.updates)
         self.registry.open_watch()
         peer = self.at_node(0, self.discovery)
@@ -58,14 +58,14 @@
     def test_a_server_that_started_after_a_step_of_the_wall_clock_has_its_real_age(self) -> None:
         for number, by_ms in enumerate((-self.HOUR_MS, self.HOUR_MS, -5000.0, 5000.0)):
             self.step(by_ms)
-            age = self.age_told(self.loop.now() + by_ms - 300, f"s-{number}")
+            age = self.notified_age(self.loop.now() + by_ms - 300, f"s-{number}")
             self.assertTrue(200 <= age <= 2000, f"{age:.0f} ms after a step of {by_ms:.0f} ms")
-        in_the_future = self.age_told(self.loop.now() + 2 * self.HOUR_MS, "s-9")
-        self.assertTrue(0 <= in_the_future <= 2000, in_the_future)
+        age_of_future_start = self.notified_age(self.loop.now() + 2 * self.HOUR_MS, "s-9")
+        self.assertTrue(0 <= age_of_future_start <= 2000, age_of_future_start)
 
 
 class ImplausibleStarts(DiscoveryScene):
-    """A proxy that began after its machine's clock was stepped sees no step: the list itself tells more."""
+    """A proxy that started after its machine's clock was stepped sees no step: the list can reveal one."""
 
     HOUR_MS = 3_600_000.0
 
@@ -75,11 +75,11 @@
         self.until(lambda: len(self.updates) > count, "the change")
         return self.loop.now() - self.updates[-1].endpoints[0].started_at
 
-    def test_a_server_that_is_new_on_a_live_watch_has_started_lately(self) -> None:
+    def test_a_server_first_listed_on_a_live_watch_has_recently_started(self) -> None:
         an_hour_ago = self.loop.now() - self.HOUR_MS
         self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
-        # What the first object tells may have come about at any time before.
+        # The changes in the first object of a watch may have happened at any earlier time.
         self.assertGreater(self.loop.now() - self.updates[0].endpoints[0].started_at, self.HOUR_MS - 1)
         self.assertLess(self.age_of(delta(6, name="s-2", since_ms=an_hour_ago)), 2000)
         self.assertLess(self.age_of(delta(7, name="s-1", since_ms=an_hour_ago + 1)), 2000)
@@ -87,7 +87,7 @@
         self.assertGreater(self.age_of(delta(8, name="s-3", since_ms=few_seconds_ago)), 8999)
         self.assertEqual(self.updates[-1].endpoints[0].server, b"s-3")
 
-    def test_a_server_that_left_the_list_and_comes_back_without_a_new_start_is_as_old_as_it_was(self) -> None:
+    def test_a_removed_server_that_is_listed_again_with_the_same_start_keeps_its_age(self) -> None:
         an_hour_ago = self.loop.now() - self.HOUR_MS
         self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
@@ -96,25 +96,25 @@
 
 
 class MovedWatch(DiscoveryScene):
-    """Discovery at a new address."""
+    """Discovery moves to a new address."""
 
     def setUp(self) -> None:
         super().setUp()
         self.moved = RecordingListener(self.loop)
         self.addCleanup(self.moved.close)
 
-    def test_the_watch_is_resumed_and_the_previous_one_heard_until_the_new_one_speaks(self) -> None:
+    def test_the_watch_is_resumed_and_the_previous_one_read_until_the_new_one_delivers(self) -> None:
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
         previous = self.follow()
-        self.registry.move_watch(self.discovery.address)  # where it is already: no request
+        self.registry.move_watch(self.discovery.address)  # the current address: no request
         self.registry.move_watch(self.moved.address)
         current = self.at_node(0, self.moved)
         self.assertIn(b"index=4 ", current.got)
         current.conn.send(STREAM_HEAD)
         for peer, version, status, is_ready in (
             (previous, 9, "leaving", False),
-            (current, 8, "active", False),  # what a watch tells late, after a newer change, changes nothing
+            (current, 8, "active", False),  # an outdated delta changes nothing
             (current, 10, "active", True),
         ):
             updates_before = len(self.updates)
@@ -122,15 +122,15 @@
             self.until(lambda: len(self.updates) > updates_before, "a change")  # noqa: B023
             self.assertEqual(self.registry.pool_for(b"s-1") is not None, is_ready)
         self.until(lambda: previous.ends, "the previous watch to end")
-        self.assertEqual(self.update_kinds(), ["DELTA"] * 3)  # and no failed watch
+        self.assertEqual(self.update_kinds(), ["DELTA"] * 3)  # no failed watch
         self.assertIsNot(self.registry.pool_for(b"s-1"), pool)
         self.assertEqual((len(self.discovery.peers), len(self.moved.peers)), (1, 1))
 
-    def test_what_is_unread_on_the_previous_watch_is_told_when_the_new_one_speaks(self) -> None:
+    def test_unread_updates_of_the_previous_watch_are_applied_when_the_new_one_delivers(self) -> None:
         self.registry.load_cached(listing())
         previous = self.follow(b"")
         previous_watch = self.watch()
-        self.until(lambda: previous_watch._is_answered, "the watch")
+        self.until(lambda: previous_watch._has_response, "the watch")
         self.registry.move_watch(self.moved.address)
         leaving = {"index": 9, "snapshot": False, "endpoints": [{"name": "s-1", "status": "leaving"}]}
         previous.conn._sock.sendall(chunks(json.dumps(leaving).encode()))
