--- a/lupinladder/balancing/__init__.py
+++ b/lupinladder/balancing/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions of the balancer, from events to actions: no clock, no input or output.
+"""The decision module of the proxy: events in, actions out, without a clock and without input or output.
 
-`events`, `actions` and `settings` are the interface, `settings_reader` reads the settings, and `balancer`
-is where the decisions begin.
+The interface is `events`, `actions` and `settings`. `settings_reader` parses the settings, and `balancer`
+makes the decisions.
 """
--- a/lupinladder/balancing/actions.py
+++ b/lupinladder/balancing/actions.py
@@ -1,4 +1,4 @@
-"""The actions of the balancer: what its caller carries out, in order. All times are milliseconds."""
+"""The actions that the balancer returns and its caller carries out in order. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt. A request's attempts are numbered from 0 in the order of their starts."""
+    """Start an attempt. The attempts of a request are numbered from 0 in the order of their starts."""
 
     request_id: int
     server: ServerId
-    expire_at: float = 0.0  # clock time to give the attempt up; 0: when the client does
-    start_by: float = inf  # clock time from which on it may not begin: a repeat would be dropped no more
+    expire_at: float = 0.0  # clock time at which the attempt is abandoned; 0: at the client's timeout
+    start_by: float = inf  # clock time before which it must start, as servers drop no repeats afterwards
 
 
 @dataclass(slots=True)
@@ -28,20 +28,18 @@
 
 
 class AnswerReason(Enum):
-    """Why a request gets a final answer that is not served."""
+    """Why a request is rejected or failed."""
 
-    NOT_ACCEPTED = "not_accepted"  # its id is open already, or its class is unknown
-    NO_SERVER_ADMITS = (
-        "no_server_admits"  # those asked are at their limits, ejected, or may not have it again
-    )
-    ORIGIN_CLOSED = "origin_closed"  # the origin is not listed, at its limit, or may not have it
-    ATTEMPT_FAILED = "attempt_failed"  # and a retry is not worth its work
-    FETCH_TOO_LONG = "fetch_too_long"  # it waited for another's fetch up to its deadline
+    NOT_ACCEPTED = "not_accepted"  # the request id is already open, or the request class is unknown
+    NO_SERVER_ADMITS = "no_server_admits"  # all servers asked are at their limits, ejected or not allowed
+    ORIGIN_CLOSED = "origin_closed"  # the origin is not listed, is at its limit or may not get the request
+    ATTEMPT_FAILED = "attempt_failed"  # the attempt failed and is not retried
+    FETCH_TOO_LONG = "fetch_too_long"  # the request waited until its deadline for the fetch of another one
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not served, and a retry does no harm."""
+    """Final answer: the request was not served, and a retry is safe."""
 
     request_id: int
     retry_after: float = 0.0
@@ -50,7 +48,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: not served, with no promise about effects."""
+    """Final answer: the request was not served, but may have taken effect."""
 
     request_id: int
     reason: AnswerReason = AnswerReason.ATTEMPT_FAILED
@@ -58,7 +56,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for TimerFired(token) after a delay."""
+    """Request a `TimerFired` event with this token after a delay."""
 
     delay: float
     token: int
@@ -66,7 +64,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the list; one EndpointUpdate answers."""
+    """Subscribe to the endpoint list; the caller answers with one `EndpointUpdate`."""
 
 
 @dataclass(slots=True)
--- a/lupinladder/balancing/balancer.py
+++ b/lupinladder/balancing/balancer.py
@@ -1,7 +1,7 @@
-"""One proxy's decisions. Read events, actions and settings in lupinladder/balancing/ first.
+"""The decisions of one proxy. Read events, actions and settings in lupinladder/balancing/ first.
 
-The ordinary path: a key hashes to a slot, a slot has an owner, the owner has a limit (brpc's formula). Within
-it the request goes to the owner, over it to the next owner, else it is rejected. Departures: docs/design.md.
+A key hashes to a slot, and the slot has owners, each with a concurrency limit by brpc's formula. A request
+goes to the first owner within its limit, else it is rejected. docs/design.md describes the exceptions.
 """
 
 from __future__ import annotations
@@ -25,29 +25,29 @@
 from lupinladder.balancing.slot_load import SLOT_COUNT
 from lupinladder.balancing.slot_table import MAX_OWNERS, SlotTable
 
-# Dimensionless constants; every time and rate comes from the settings or from what is observed.
-# Further owners asked before a rejection: a third at its limit rejects 0.11 with one, 0.04 with two.
+# Dimensionless constants; every time and rate comes from the settings or from measurements.
+# Extra owners asked before a rejection: with 1/3 of servers full, one leaves 0.11 rejected, two leave 0.04.
 EXTRA_OWNERS_ASKED = 2
-RETRY_SHARE = 0.1  # further attempts after failures, as a share of requests
+RETRY_SHARE = 0.1  # retries after failures, as a share of requests
 MAX_RETRY_BUDGET = 16
-ORIGIN_SLOWDOWN = 1.25  # over its least latency, from which on the origin is behind
-MISS_HOP_SHARE = 5 / 6  # of the objective: in cache-aside mode a miss takes two hops within one
-RESUMED_PER_STEP = 32  # of the requests that wait for one fetch
-OVER_QUOTA_LIMIT_SHARE = 0.7  # of a server's limit, for tenants over their quota
+ORIGIN_SLOWDOWN = 1.25  # ratio of latency to minimum latency above which the origin counts as overloaded
+MISS_HOP_SHARE = 5 / 6  # share of the latency objective per hop: a cache-aside miss takes two hops
+RESUMED_PER_STEP = 32  # requests resumed at once after the fetch that they waited for
+OVER_QUOTA_LIMIT_SHARE = 0.7  # share of a server's limit that is open to tenants over their quota
 
 
 class Balancer(EventDispatcher):
-    """One proxy's decisions; `handle(event, now)` returns the actions to carry out, in order."""
+    """Decides for one proxy: `handle(event, now)` returns the actions to carry out, in order."""
 
     def __init__(self, settings: Settings, seed: int, now: float, slots: SlotTable | None = None) -> None:
         self._objective = strictest_objective(settings)
         self._endpoints = EndpointTable(settings, self._new_server, slots or SlotTable())
-        min_limit = min(1.0, 2 / settings.balancer_count)  # of all balancers: a core's worth of sends
+        min_limit = min(1.0, 2 / settings.balancer_count)  # together, balancers can keep one core busy
         origin_limiter = ConcurrencyLimiter(now, self._objective, 1.0, False)
         pool = PoolState(settings, self._endpoints, RandomSource(seed), min_limit, origin_limiter, now)
         super().__init__(settings, pool, now)
         self._retry_budget = 1.0
-        self._fetches = dict[int, OriginFetch]()  # cache-aside mode: the latest one of each key that is out
+        self._fetches = dict[int, OriginFetch]()  # cache-aside mode: the latest outstanding fetch of each key
 
     def _new_server(self, endpoint: Endpoint, is_origin: bool, now: float) -> Server:
         age = now - endpoint.started_at
@@ -58,12 +58,12 @@
         if is_origin:
             limiter.mean_send_interval = self._objective
         if warming_up and self.pool.min_limit < SPARSE_MIN_LIMIT:
-            # One send in many seconds: from zero on all balancers would wait at first.
+            # Each balancer sends rarely: without a random initial credit, none would send at first.
             server.slow_start_credit = self.pool.random.random_fraction()
         return server
 
     def on_limit_restored(self, event: LimitRestored) -> None:
-        """Take over a limit, unless something is known of the server already or it has lately started."""
+        """Apply a stored limit, unless the server is already measured or has recently started."""
         server = self.members.get(event.server)
         if server is None or server.warming_up or server.limiter.latency or server.limiter.in_slow_start:
             return
@@ -73,11 +73,11 @@
         self.pool.touched[server] = None
 
     def accepts(self, request_id: int, request_class: int) -> bool:
-        """Whether a request may be opened: its id is not open, and its class is known."""
+        """Whether a request may be opened: its id is not open, and its class exists."""
         return request_id not in self.open_requests and 0 <= request_class < len(self.settings.classes)
 
     def on_request(self, state: RequestState) -> None:
-        """Send a new request to its slot's owner, or a write in cache-aside mode to the origin."""
+        """Send a new request to an owner of its slot, or a cache-aside write to the origin."""
         self._retry_budget = min(self._retry_budget + RETRY_SHARE, MAX_RETRY_BUDGET)
         tenant = state.request.tenant
         if tenant < len(self.settings.tenant_quotas):
@@ -88,20 +88,20 @@
             self._route(state)
 
     def _quota(self, tenant: int) -> float:
-        """The count up to which a tenant keeps to its quota; beyond it, it is the first to be rejected."""
+        """The request count of a tenant at its quota; above it, its requests are rejected first."""
         quota = self.settings.tenant_quotas[tenant] / self.settings.balancer_count / 1000 * self._objective
-        # The count halves in 8 objectives; a quarter more, as balancers' shares are uneven.
+        # The count halves in 8 objectives; a quarter is added, as tenants spread unevenly over balancers.
         return 10 * quota / log(2) + MIN_WINDOW_SAMPLES
 
     def _route(self, state: RequestState) -> None:
-        """Send to the slot's owner, over its limit to the next, else reject."""
+        """Send the request to the first owner of its slot that admits it, else reject it."""
         slot = splitmix64(state.request.key or state.request.request_id) % SLOT_COUNT
         candidates, owner_count = self._candidates(slot)
         is_known = state.request.is_write or self.pool.has_recent_key(state.request.key)
         is_fetch = not (is_known or self.settings.cache_aside)
         if is_fetch and not self._origin_admits_fetch():
-            candidates = []  # known keys go on, but a fetch would only join the origin's queue
-        # One rejected for want of own sends says nothing of the next, so with many balancers all are asked.
+            candidates = []  # other requests are still sent; a fetch would only join the origin's queue
+        # With many balancers a limit reflects few sends and says nothing about other owners: all are asked.
         left = MAX_OWNERS if self.pool.min_limit < SPARSE_MIN_LIMIT else owner_count + EXTRA_OWNERS_ASKED
         share = OVER_QUOTA_LIMIT_SHARE if state.over_quota else 1.0
         tried = [attempt.server for attempt in state.attempts]
@@ -115,7 +115,7 @@
         self.reject_or_fail(state, AnswerReason.NO_SERVER_ADMITS)
 
     def _candidates(self, slot: int) -> tuple[list[Server], int]:
-        """The servers to ask for this slot, in order, and how many of them own it."""
+        """The servers to ask for this slot, in order, and the number of its owners among them."""
         owners = self.slots.owners(slot)
         for server, _ in owners:
             refresh_warm_up(self.pool, server)
@@ -125,20 +125,20 @@
             width = -(-count // self.settings.balancer_count)
             turn = (self.settings.balancer_index + int(self.slots.load.by_slot[slot]) % width) % count
             order = order[turn:count] + order[:turn] + order[count:]
-        # With many balancers an owner is overrun without any one's limit telling: go by what it holds of all.
-        # A limit tells only of what has completed: while an owner stands still the next one is asked first.
+        # Many balancers can overload a server while each is within its limit, so busy servers are asked last.
+        # A limit reflects only completed sends, so servers with stalled sends are asked last, too.
         order.sort(key=lambda s: s.busy_until > self.now or s.limiter.is_stalled(self.now))
         return order, count
 
     def _origin_admits_fetch(self) -> bool:
-        """Whether the origin has room, by the fetches expected of sends, or by all when it is behind."""
+        """Whether the origin has room for the expected share of fetches or, if it is slow, for every send."""
         limiter = self.pool.origin_limiter
         lately_dropped = self.now - limiter.dropped_at < MEMORY_OBJECTIVES * self._objective
         is_behind = lately_dropped or limiter.latency > ORIGIN_SLOWDOWN * limiter.min_latency
         return limiter.admits(self.now, 1.0 if is_behind else 1 / self.pool.miss_ratio)
 
     def _fetch_from_origin(self, state: RequestState) -> None:
-        """Cache-aside mode: send to the origin. A key's concurrent misses wait for the one fetch."""
+        """Cache-aside mode: send to the origin. Concurrent misses of a key wait for its one fetch."""
         key = 0 if state.request.is_write else state.request.key
         origin = self._endpoints.origin
         fetch = self._fetches.get(key)
@@ -151,8 +151,8 @@
             self._fetches[key] = OriginFetch(state.attempts[-1])
 
     def _resume_waiting(self, key: int, attempt: Attempt, fetched: bool) -> None:
-        """An attempt has ended: if it was the key's fetch, send what waited for it back to the server that
-        missed, or to the origin. It is known by itself: the origin may be listed anew while it is out."""
+        """After a key's fetch, send the waiting requests back to the server that missed, or to the origin.
+        The attempt identifies the fetch: the origin may be removed and listed again while it is in flight."""
         fetch = self._fetches.get(key)
         if fetch is None or fetch.attempt is not attempt:
             return
@@ -160,7 +160,7 @@
         self._resume(fetch.waiting, fetched)
 
     def _resume(self, waiting: list[RequestState], fetched: bool) -> None:
-        """Send some of them on; the rest follows in steps, as many may wait for one key."""
+        """Resume some of the waiting requests now and the rest in later steps, as there may be many."""
         for state in waiting[:RESUMED_PER_STEP]:
             may_return = fetched and len(state.attempts) + 1 < self.settings.max_attempts
             if not state.finished and not (may_return and self._send(state, state.attempts[-1].server)):
@@ -170,18 +170,18 @@
             self.actions.append(self.timers.set(0.0, lambda: self._resume(rest, fetched)))
 
     def _send(self, state: RequestState, server: Server, share: float = 1.0, is_fetch: bool = False) -> bool:
-        """Start an attempt, if the server's limits and what is allowed for the request admit it."""
+        """Start an attempt if the server's limits and the rules for the request allow it."""
         if not server.admits(self.now, share) or not state.may_attempt(server, self.now, self.settings):
             return False
         is_keyed = state.request_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY
         executed = state.possibly_executed() if is_keyed else []
-        window = state.request_class.deduplication_window  # after it a repeat would be dropped no more
+        window = state.request_class.deduplication_window  # servers drop repeats until it ends
         start_by = executed[0].sent_at + window if executed else inf
         self.start_attempt(state, server, start_by, is_fetch)
         return True
 
     def on_attempt_ended(self, state: RequestState, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take in an outcome, then answer the request, send it again or let it wait."""
+        """Record an outcome, then answer the request, send it again or let it wait."""
         self.log(record_outcome(self.pool, state.request.key, attempt, event, self.now))
         is_origin = attempt.server.is_origin
         if event.request_finished or state.finished:
@@ -189,7 +189,7 @@
         elif event.outcome is Outcome.MISS and self.settings.cache_aside and not is_origin:
             self._fetch_from_origin(state)
         elif event.outcome is Outcome.REJECTED and not is_origin and not attempt.server.is_rejecting():
-            self._route(state)  # it never ran and cost no work: not one of the few retries
+            self._route(state)  # it was not executed and cost no work, so it takes no retry budget
         elif is_origin or not self._may_retry(event):
             self.reject_or_fail(state, AnswerReason.ATTEMPT_FAILED)
         else:
@@ -198,12 +198,12 @@
         self._resume_waiting(state.request.key, attempt, event.outcome is Outcome.OK)
 
     def _may_retry(self, event: AttemptEnded) -> bool:
-        """Whether a retry is worth its work: time is left, and it is no fetch, which would fail there too."""
+        """Whether to retry: time and budget remain, and no fetch failed, as it would fail on any server."""
         is_fetch = event.cache_result >= CacheResult.MISS
         return event.outcome is not Outcome.TIMEOUT and not is_fetch and self._retry_budget >= 1
 
     def reject_or_fail(self, state: RequestState, reason: AnswerReason) -> None:
-        """The final answer: a rejection where that promise holds, else a failure."""
+        """Reject the request if a retry is safe, else fail it."""
         if state.may_reject():
             self.reject(state, min(self.settings.max_retry_after, self._objective / 4), reason)
         else:
--- a/lupinladder/balancing/concurrency_limiter.py
+++ b/lupinladder/balancing/concurrency_limiter.py
@@ -7,41 +7,42 @@
 from lupinladder.balancing.events import LimitRestored, RestoreMode
 from lupinladder.balancing.limiter_state import LimiterState
 
-RETEST_LATENCIES = 400  # latencies between retests; rare, as each costs sends
-MIN_ALPHA = 0.3  # the accepted rise in latency: up to the objective, but no less than this
-MAX_ALPHA = 4.0  # and no more than this
-WINDOW_SAMPLES = 16  # a window closes on this many samples
-MIN_WINDOW_SAMPLES = 4  # or at its timeout with at least this many
-WINDOW_OBJECTIVES = 4  # a window's timeout, in latency objectives
-SPARSE_MIN_LIMIT = 0.2  # below it, with over ten balancers, the sends of a sparse limit are further apart
+RETEST_LATENCIES = 400  # mean latencies between retests; they are rare, as each costs sends
+MIN_ALPHA = 0.3  # lower bound of the accepted rise in latency, which otherwise ends at the objective
+MAX_ALPHA = 4.0  # upper bound of the accepted rise
+WINDOW_SAMPLES = 16  # samples that close a window
+MIN_WINDOW_SAMPLES = 4  # samples that close a window at its timeout
+WINDOW_OBJECTIVES = 4  # timeout of a window, in latency objectives
+SPARSE_MIN_LIMIT = 0.2  # with a lower minimum limit (over ten balancers), sends may be further apart
 
 
 class ConcurrencyLimiter(LimiterState):
-    """brpc's adaptive limit for one server, from this balancer's own completed sends."""
+    """brpc's adaptive limit for one server, computed from this balancer's completed sends."""
 
     def __init__(self, now: float, latency_objective: float, min_limit: float, in_slow_start: bool) -> None:
         super().__init__(now, latency_objective, min_limit, in_slow_start)
         if in_slow_start:
-            self.max_concurrency = 1.0  # else there is no limit until the first window closes
+            self.max_concurrency = 1.0  # otherwise there is no limit until the first window closes
 
     @property
     def max_send_interval(self) -> float:
-        """How far apart sends may be, and one sign lasts: many balancers' probes would else be a load."""
+        """The maximum time in ms between sends. One overload sample counts for as long. It grows with the
+        number of balancers, as their probes would otherwise add up to a load."""
         return WINDOW_OBJECTIVES * self.latency_objective * max(1.0, SPARSE_MIN_LIMIT / self.min_limit)
 
     def admits(self, now: float, share: float = 1.0) -> bool:
-        """Whether one more send is within this share of the limit, rounded to the nearest, not down."""
+        """Whether this share of the limit, rounded to the nearest integer, admits one more send."""
         return now >= self.next_send_at and self.inflight <= max(self.max_concurrency * share - 0.5, 0)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether several sends (one may be long) are out and none has completed for the mean latency."""
+        """Whether several sends (one may be long) are in flight, but none completed for the mean latency."""
         return self.inflight > 1 and now - max(self.completed_at, self.busy_since) > self.latency > 0
 
     def on_send(self, now: float) -> None:
-        """Count a send as in flight, and space the next one where the limit is below one."""
+        """Count a send as in flight, and delay the next one if the limit is below one."""
         self.record_send(now)
-        if self.max_concurrency < 1:  # many balancers share a server: kept as a mean, by Little's law
-            # Where all depends on it, all balancers' probes are half of what it carried, halved by each drop.
+        if self.max_concurrency < 1:  # kept as a mean by Little's law, as many balancers share a server
+            # For the origin, the probes of all balancers start at half of its former load and halve per drop.
             by_load = self.mean_send_interval * 2.0**self.consecutive_drops
             self.next_send_at = now + min(
                 self.latency / self.max_concurrency, self.max_send_interval, by_load
@@ -51,10 +52,10 @@
         self.sent_at = now
 
     def on_complete(self, latency: float, now: float) -> None:
-        """Take in a completed send; closes the window when it is full."""
+        """Record a completed send, and close the window if it is full."""
         self.record_completion(latency, now)
         if self.is_retesting and now - latency < self.window_start:
-            return  # sent before the drain: it has queued, and would make min_latency creep
+            return  # sent before the drain: its time in the queue would raise min_latency
         self.add_sample(latency)
         if self._window_is_full(now):
             self.close_window(now)
@@ -67,7 +68,8 @@
         return self.window_count >= enough or (timed_out and self.window_count >= MIN_WINDOW_SAMPLES)
 
     def on_drop(self, sent_at: float, now: float) -> None:
-        """Drain if nothing sent since has completed: else dead work fills the queue; no window would tell."""
+        """Drain the server unless a later send has completed: abandoned requests fill its queue, and no
+        sample window would show that."""
         if self.completed_at > sent_at:
             return
         self.max_concurrency = min(self.max_concurrency, self.min_limit)
@@ -76,17 +78,17 @@
         self.next_send_at = max(self.next_send_at, now + self.latency)
 
     def limit_for_latency(self, latency: float) -> float:
-        """The limit by brpc's formula, at the mean latency of a window."""
+        """The limit by brpc's formula at the mean latency of a window."""
         alpha = min(max(self.latency_objective / self.min_latency - 2, MIN_ALPHA), MAX_ALPHA)
         headroom = (2 + alpha) * self.min_latency - latency
         limit = self.max_qps * headroom
-        if headroom > 0:  # the swing of few sends at once, less as latency rises
+        if headroom > 0:  # allowance for variation at low concurrency, less as latency rises
             swing = 1 + (self.mean_send_interval < inf) + sqrt(limit)
             limit += swing * min(1.0, headroom / ((1 + alpha) * self.min_latency))
         return max(limit, self.min_limit)
 
     def restore(self, known: LimitRestored, now: float) -> None:
-        """Begin from what was known: all of it, or less, and from there doubled by each window."""
+        """Start from all or part of a stored limit; unless it is all, each window may double it."""
         limit = 1.0
         if known.min_latency > 0 and known.mode is not RestoreMode.PROBE:
             self.min_latency = self.latency = known.min_latency
@@ -97,16 +99,17 @@
         self.max_concurrency = limit / 2 if known.mode is RestoreMode.PARTIAL else limit
 
     def close_window(self, now: float) -> None:
-        """End the window and set the next limit."""
+        """End the window and compute the next limit."""
         is_first = not self.min_latency
         self.measure_window(now, MIN_WINDOW_SAMPLES)
         if is_first:
             self.retest_at = now + RETEST_LATENCIES * self.latency
-        # Creep ends at the objective; but a far server is not held to less than its round trip and some work.
+        # The objective bounds the rise of min_latency, but a distant server may have its round trip and some
+        # work in addition.
         bound = self.latency_objective / (2 + MIN_ALPHA)
         self.min_latency = min(self.min_latency, max(bound, self.lowest_latency + bound / 2.5))
         limit = self.limit_for_latency(self.latency)
-        if self.in_slow_start:  # doubled at most, until the formula gives less
+        if self.in_slow_start:  # the limit at most doubles until the formula gives less
             limit = min(limit, 2 * self.max_concurrency)
             self.in_slow_start = limit == 2 * self.max_concurrency
         self.max_concurrency = limit
@@ -116,9 +119,9 @@
             self._begin_retest(limit, now)
 
     def _begin_retest(self, limit: float, now: float) -> None:
-        """Cut below what is in flight, drain for twice the latency, stay under the cut until measured."""
+        """Cut the limit below what is in flight, drain for twice the latency, keep the cut until measured."""
         is_busy = self.inflight > MIN_WINDOW_SAMPLES
-        cut = self.inflight / 2 if is_busy else limit / 4  # half of a few would leave one
+        cut = self.inflight / 2 if is_busy else limit / 4  # half of a few sends would be one
         self.max_concurrency = max(1.0, min(limit, cut))
         self.next_send_at = self.window_start = now + 2 * self.latency
         self.retest_at = now + RETEST_LATENCIES * self.latency
--- a/lupinladder/balancing/endpoint_table.py
+++ b/lupinladder/balancing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers that discovery lists, and how an update is merged into them. No decision is made here."""
+"""The servers that discovery lists, and how updates are applied to them. No decision is made here."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from lupinladder.balancing.warm_weight import WarmWeight
 
 WHOLE_LISTS = (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
-ServerFactory = Callable[[Endpoint, bool, float], Server]  # endpoint, whether it is the origin, now
+ServerFactory = Callable[[Endpoint, bool, float], Server]  # arguments: endpoint, is_origin, now
 
 
 class EndpointTable:
-    """The listed servers by id, which of them is the origin, and what is kept of all that own slots.
+    """The listed servers by id, the origin among them, and the totals over all owners of slots.
 
-    A change costs what is changed: nothing here walks all servers but a whole list that comes in one update.
+    The cost of an update grows with its entries. Only a complete list in one update visits all servers.
     """
 
     def __init__(self, settings: Settings, new_server: ServerFactory, slots: SlotTable) -> None:
@@ -27,18 +27,18 @@
         self._version = -1
         self.members = dict[ServerId, Server]()
         self.slots = slots
-        self.warm_weight = WarmWeight()  # of the slots' owners
-        self.owner_count = 0  # of slots: ready members other than the origin
+        self.warm_weight = WarmWeight()  # of the owners of slots
+        self.owner_count = 0  # ready servers other than the origin
         self.origin: Server | None = None
 
     def is_stale(self, update: EndpointUpdate) -> bool:
-        """Whether a newer list than the one that this delta changes is known."""
+        """Whether this delta changes an older list than the current one."""
         return update.kind is EndpointUpdateKind.DELTA and update.version < self._version
 
     def merge(self, update: EndpointUpdate, now: float) -> None:
-        """Take in a full, cached or changed list."""
+        """Apply a full list, a cached list or changes."""
         self._version = update.version
-        if update.kind in WHOLE_LISTS:  # who is missing from one is gone
+        if update.kind in WHOLE_LISTS:  # servers that a complete list omits are gone
             listed = {endpoint.server for endpoint in update.endpoints}
             for missing in [server for server in self.members if server not in listed]:
                 self._remove(self.members[missing])
@@ -52,7 +52,7 @@
                 self._remove(server)
             return
         if server is not None and server.endpoint.started_at != endpoint.started_at:
-            self._remove(server)  # it has started again under its id
+            self._remove(server)  # the server has restarted under its id
             server = None
         if server is None:
             server = self._add(endpoint, now)
@@ -98,13 +98,13 @@
         return server.endpoint.started_at + max(self._settings.warmup_time, 1.0)
 
     def _weight_of(self, endpoint: Endpoint) -> float:
-        """A server's weight as listed; weights that follow the load of the moment are not used."""
+        """The listed weight of a server. Live weights, which follow the current load, are not used."""
         if self._settings.live_weights or not 0 < endpoint.weight < inf:
             return 1.0
         return endpoint.weight
 
     def _remove(self, server: Server) -> None:
-        self._set_unready(server)  # attempts in flight still hold it
+        self._set_unready(server)  # attempts in flight still refer to it
         if server is self.origin:
             self.origin = None
         del self.members[server.id]
--- a/lupinladder/balancing/event_dispatcher.py
+++ b/lupinladder/balancing/event_dispatcher.py
@@ -1,6 +1,6 @@
-"""Dispatch of each event to its handler, and the bookkeeping around it.
+"""Dispatches each event to its handler and keeps the state that this needs.
 
-No decision is made here: what to send, reject or hold is said by the handlers, in balancer.py.
+The decisions what to send, reject or hold are made by the handlers in balancer.py.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 
 class EventDispatcher(ABC):
-    """Takes events in, one by one, and returns the actions that their handlers add.
+    """Receives events one by one and returns the actions that their handlers add.
 
-    Events that name an unknown or finished request, an attempt that was never made or a stale timer are
-    ignored; a clock that goes back is read as the latest time seen.
+    Events for unknown or finished requests, for attempts that never started and for expired timers are
+    ignored. A time that goes back counts as the latest time seen.
     """
 
     def __init__(self, settings: Settings, pool: PoolState, now: float) -> None:
@@ -54,8 +54,8 @@
         self.timers = TimerRegistry()
         self.poller = EndpointPoller(settings, pool.random)
         self._polls_set = 0
-        self._is_list_whole = True  # no more of the list that is being taken in is to come
-        self._settling = False  # a timer is set for the next step
+        self._is_list_whole = True  # no more parts of the current list follow
+        self._settling = False  # a timer for the next step is set
         self.open_requests = dict[int, RequestState]()  # by id, until the last attempt has ended
 
     @property
@@ -69,14 +69,14 @@
         return self.pool.slots
 
     def start(self, now: float) -> list[Action]:
-        """The first actions: the list is polled for, where it is not pushed."""
+        """The first actions: schedule a poll for the list if it is not pushed."""
         self.now = max(now, self.now)
         if self.settings.poll_endpoints:
             self._poll_endpoints_after(self.poller.first_delay())
         return self.actions
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event at this time; returns the actions to carry out, in order."""
+        """Process one event; returns the actions to carry out, in order."""
         self.actions = []
         self.now = max(now, self.now)
         if self.now >= self.review_at:
@@ -100,18 +100,18 @@
         return self.actions
 
     def finish(self, state: RequestState) -> None:
-        """The request has its final answer; it is forgotten once its last attempt has ended."""
+        """Mark the request as answered, and remove it once its last attempt has ended."""
         state.finished = True
         if not state.has_outstanding_attempt():
             self.open_requests.pop(state.request.request_id, None)
 
     def reject(self, state: RequestState, retry_after: float, reason: AnswerReason) -> None:
-        """Give the final answer that a retry does no harm."""
+        """Give the final answer that a retry is safe."""
         self.actions.append(Reject(state.request.request_id, retry_after, reason))
         self.finish(state)
 
     def fail(self, state: RequestState, reason: AnswerReason) -> None:
-        """Give the final answer that promises nothing."""
+        """Give the final answer without a promise about effects."""
         self.actions.append(Fail(state.request.request_id, reason))
         self.finish(state)
 
@@ -128,16 +128,16 @@
         self.actions.append(StartAttempt(state.request.request_id, server.id, start_by=start_by))
 
     def hold_until_deadline(self, state: RequestState) -> None:
-        """Set the timer that answers the request if nothing else has."""
+        """Set the timer that answers the request at its deadline if it is still unanswered."""
         self.actions.append(self.timers.set(state.deadline - self.now, lambda: self._on_deadline(state)))
 
     def log(self, text: str | None) -> None:
-        """Add a line for the operator's log, if there is one."""
+        """Log this text for the operator, if there is any."""
         if text:
             self.actions.append(LogMessage(text))
 
     def _dispatch_endpoint_update(self, event: EndpointUpdate) -> None:
-        """Merge a list, or poll for it again."""
+        """Apply an update of the list, or schedule a poll after a failure."""
         endpoints = self.pool.endpoints
         if event.kind is EndpointUpdateKind.FAILED:
             self._poll_endpoints_after(self.poller.delay_after_failure())
@@ -148,13 +148,13 @@
             self._settle_slots()
 
     def settle_all(self) -> None:
-        """Take all steps towards the slots of the list that is known: at a start, before anybody waits."""
+        """Rebuild the slot table completely, for use at the start, when no requests wait."""
         while not self.slots.settle():
             pass
 
     def _settle_slots(self) -> None:
-        """Take a step towards the slots of the list that is known; the next one follows by itself, so that
-        other events have their turn between."""
+        """Take one step of the slot table's rebuild. A timer starts the next step, so that other events are
+        handled in between."""
         is_settled = self.slots.settle(self._is_list_whole)
         if not is_settled and not self._settling:
             self._settling = True
@@ -165,8 +165,8 @@
         self._settle_slots()
 
     def _poll_endpoints_after(self, delay: float) -> None:
-        """Poll once after this delay, and not at the time that was set before: a reload may have had a poll
-        made between, and each failure would begin one more cycle of polls."""
+        """Schedule a poll after this delay in place of any earlier one: a reload may have polled in between,
+        and each failure would otherwise start one more cycle of polls."""
         self._polls_set += 1
         number = self._polls_set
         self.actions.append(self.timers.set(delay, lambda: self._poll_endpoints(number)))
@@ -201,20 +201,20 @@
 
     @abstractmethod
     def accepts(self, request_id: int, request_class: int) -> bool:
-        """Whether a request may be opened; one that may not is rejected at once."""
+        """Whether a request may be opened; otherwise it is rejected at once."""
 
     @abstractmethod
     def on_request(self, state: RequestState) -> None:
-        """A request has come, and is open."""
+        """Handle a new request, which is already open."""
 
     @abstractmethod
     def on_attempt_ended(self, state: RequestState, attempt: Attempt, event: AttemptEnded) -> None:
-        """An attempt that was outstanding has ended; its outcome is set already."""
+        """Handle the end of an outstanding attempt, whose outcome is already set."""
 
     @abstractmethod
     def on_limit_restored(self, event: LimitRestored) -> None:
-        """What was known of a server before a restart."""
+        """Handle the state of a server that was stored before a restart."""
 
     @abstractmethod
     def reject_or_fail(self, state: RequestState, reason: AnswerReason) -> None:
-        """Answer a request that gets no further attempt, or is held and at its deadline."""
+        """Answer a request that gets no further attempt, or that is held at its deadline."""
--- a/lupinladder/balancing/events.py
+++ b/lupinladder/balancing/events.py
@@ -1,16 +1,16 @@
-"""The interface of the decision module: settings, events and actions.
+"""The interface of the decision module: its use and its events.
 
-All times are milliseconds on one clock that the caller chooses and that never goes back (a time
-that does is read as the latest one seen). Server ids are opaque bytes that sort and compare; request
-ids are opaque integers, never used twice. One `Balancer` serves one proxy and shares nothing.
+All times are milliseconds on one clock of the caller's choice that never goes back; a time that does counts
+as the latest one seen. Server ids are opaque bytes that can be compared and sorted. Request ids are opaque
+integers that are never reused. One `Balancer` serves one proxy and shares no state.
 
-A caller makes `Balancer(settings, seed, now)`, carries out `balancer.start(now)`, and then passes each
-event to `balancer.handle(event, now)` and carries out the actions returned, in order. Doing nothing for
-a request means holding it: the balancer has set a timer for it or an attempt is out.
+A caller creates `Balancer(settings, seed, now)`, carries out the actions of `balancer.start(now)`, and then
+passes each event to `balancer.handle(event, now)` and carries out the returned actions in order. A request
+without an action is held: the balancer has set a timer for it, or an attempt is in flight.
 
-Misuse is harmless: events that name an unknown or finished request, an attempt that was never made or
-a stale timer are ignored, and a request that comes before the first list or with the id of one still
-open is rejected.
+Invalid events are harmless: those for unknown or finished requests, for attempts that never started and for
+expired timers are ignored. A request that arrives before the first list, or with the id of a request that
+is still open, is rejected.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class EndpointState(Enum):
-    """Whether a listed server may be sent to."""
+    """Whether requests may be sent to a server."""
 
     GONE = 0
     DRAINING = 1
@@ -30,17 +30,17 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update holds."""
+    """What an update contains."""
 
-    DELTA = 0  # changes of the list
-    FULL = 1  # the whole list
-    CACHED = 2  # a whole list that may be old
-    FAILED = 3  # nothing: the call for the list, or the watch, has failed
-    DIFFERENCE = 4  # what a whole list changes in the one before; its version may be lower
+    DELTA = 0  # changes to the list
+    FULL = 1  # the complete list
+    CACHED = 2  # a complete list that may be outdated
+    FAILED = 3  # nothing: the poll or the watch has failed
+    DIFFERENCE = 4  # the changes from the previous list to a new complete one; its version may be lower
 
 
 class Outcome(Enum):
-    """How an attempt ended. REJECTED, CONNECT_FAILED, NOT_STARTED and MISS prove that it never ran."""
+    """How an attempt ended. REJECTED, CONNECT_FAILED, NOT_STARTED and MISS prove that it was not executed."""
 
     OK = "ok"
     ERROR = "error"
@@ -55,24 +55,24 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One server of a list."""
+    """One server of an endpoint list."""
 
     server: ServerId
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    started_at: float = 0.0  # when it last started; 0: long ago
+    started_at: float = 0.0  # time of the last start; 0: long ago
     zone: int = 0
     cell: int = 0
     server_kind: int = 0
 
 
 class CacheResult(IntEnum):
-    """What a cache node tells of the key it was asked for."""
+    """What a cache node reports about the requested key."""
 
-    NONE = 0  # nothing was told
+    NONE = 0  # not reported
     HIT = 1
     MISS = 2  # the node fetched it from the origin
-    MISS_PENDING = 3  # a miss while another fetch for the key was out
+    MISS_PENDING = 3  # a miss while another fetch of the key was in flight
 
 
 # Events
@@ -80,10 +80,10 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """What discovery knows. A full or cached list replaces the old one, a delta changes it.
+    """An update of the endpoint list. A full or cached list replaces the current one, a delta changes it.
 
-    A long delta may come in parts: with `more_follows` the next one belongs to the same list. Who leaves by
-    a part is sent nothing from then on; who comes owns slots once the last part has come.
+    A long delta may arrive in parts: `more_follows` means that the next update continues it. Servers that a
+    part removes get no requests from then on; added servers own slots once the last part has arrived.
     """
 
     kind: EndpointUpdateKind
@@ -94,22 +94,22 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A request has come from a client."""
+    """A client has sent a request."""
 
     request_id: int
-    request_class: int  # index of its class
-    timeout: float  # time until the client gives this try up
+    request_class: int  # index into Settings.classes
+    timeout: float  # time until the client abandons this try
     key: int = 0  # 0: none
     tenant: int = 0
     is_write: bool = False
-    is_retry: bool = False  # a client's retry, where clients say so
+    is_retry: bool = False  # a client's retry, if clients mark retries
     expected_work: float = 0.0  # 0: unknown
     size: float = 0.0  # 0: unknown
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed answer has begun."""
+    """A streamed reply has started."""
 
     request_id: int
     attempt: int
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; exactly one for each StartAttempt."""
+    """An attempt has ended; each `StartAttempt` leads to exactly one such event."""
 
     request_id: int
     attempt: int
@@ -126,26 +126,26 @@
     latency: float
     request_finished: bool = False  # the request has its final answer
     cache_result: CacheResult = CacheResult.NONE
-    load: tuple[float, ...] = ()  # as in report_fields; may be empty
+    load: tuple[float, ...] = ()  # the values of Settings.report_fields; may be empty
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has gone; the request is finished."""
+    """The client has disconnected; the request is finished."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that SetTimer has set is due."""
+    """A timer that `SetTimer` has set is due."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """How a health check ended; the balancer asks for none and reads none."""
+    """The result of a health check; the balancer requests none and ignores this event."""
 
     server: ServerId
     outcome: Outcome
@@ -154,29 +154,29 @@
 
 
 class RestoreMode(Enum):
-    """What a restored limit may be used for; docs/recovery.md has the table."""
+    """How much of a restored limit may be used; docs/recovery.md has the table."""
 
-    PROBE = "trial"  # one send at a time, doubled by each good window
-    PARTIAL = "part"  # half of it, doubled likewise
+    PROBE = "trial"  # one send at a time; each good window doubles the limit
+    PARTIAL = "part"  # half of the limit; each good window doubles it
     FULL = "all"
 
 
 @dataclass(slots=True)
 class LimitRestored:
-    """What was known of a server before this balancer stopped. It is skipped for a server that is not listed,
-    that has lately started, or of which something is known already."""
+    """The stored state of a server from before a restart. It is ignored for a server that is not listed, that
+    has recently started or that is already measured."""
 
     server: ServerId
     mode: RestoreMode
-    min_latency: float = 0.0  # ms; 0: nothing is known but the server itself
-    max_qps: float = 0.0  # sends a millisecond
-    slot_share: float = 1.0  # share of its slots that load had left it
+    min_latency: float = 0.0  # ms; 0: only the server itself is known
+    max_qps: float = 0.0  # sends per ms
+    slot_share: float = 1.0  # share of its slots that overload left it
     failure_rate: float = 0.0  # smoothed share of its attempts that failed
 
 
 @dataclass(slots=True)
 class SlotLoadRestored:
-    """Own sends by slot, as they were; the slots' numbers are those of this version of the slot table."""
+    """The stored load of own sends by slot. Slot numbers are those of this version of the slot table."""
 
     slot_load: dict[int, float]
 
--- a/lupinladder/balancing/hashing.py
+++ b/lupinladder/balancing/hashing.py
@@ -1,15 +1,15 @@
-"""A fixed 64-bit hash and the random numbers that are made with it. No decision is made here."""
+"""A fixed 64-bit hash and the random numbers derived from it. No decision is made here."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-HashSeries = Callable[[int, int], list[int]]  # the first number, and how many
-HASH_MASK = (1 << 64) - 1  # the highest value of a hash
+HashSeries = Callable[[int, int], list[int]]  # arguments: the first number, the count
+HASH_MASK = (1 << 64) - 1  # the highest hash
 
 
 def splitmix64(value: int) -> int:
-    """The SplitMix64 hash of a number, the same in every process."""
+    """The SplitMix64 hash of a number; it is the same in every process."""
     value = (value + 0x9E3779B97F4A7C15) & HASH_MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & HASH_MASK
     value = ((value ^ (value >> 27)) * 0x94D049BB133111EB) & HASH_MASK
@@ -17,8 +17,7 @@
 
 
 def splitmix64_series(first: int, count: int) -> list[int]:
-    """The hashes of so many numbers, one after another from the first. It is what single calls give, in half
-    of the time."""
+    """The hashes of `count` consecutive numbers. The result equals that of single calls, in half the time."""
     hashes = list[int]()
     for number in range(first + 0x9E3779B97F4A7C15, first + 0x9E3779B97F4A7C15 + count):
         value = number & HASH_MASK
@@ -29,7 +28,7 @@
 
 
 class RandomSource:
-    """A balancer's own random numbers, the same for the same seed."""
+    """The random numbers of one balancer; equal seeds give equal numbers."""
 
     def __init__(self, seed: int) -> None:
         self._state = splitmix64(seed)
--- a/lupinladder/balancing/limiter_state.py
+++ b/lupinladder/balancing/limiter_state.py
@@ -4,14 +4,14 @@
 
 from math import inf
 
-EMA_ALPHA = 0.1  # brpc's smoothing
-MAX_QPS_ALPHA_DIVISOR = 10  # the peak rate falls ten times slower
+EMA_ALPHA = 0.1  # brpc's smoothing factor
+MAX_QPS_ALPHA_DIVISOR = 10  # the peak rate decays ten times slower
 
 
 class LimiterState:
-    """What a limiter has measured on its own sends to one server, and the limit it has set.
+    """What a limiter has measured on its own sends to one server, and the limit that follows.
 
-    Times are milliseconds, rates are sends a millisecond.
+    Times are in ms, rates in sends per ms.
     """
 
     def __init__(self, now: float, latency_objective: float, min_limit: float, in_slow_start: bool) -> None:
@@ -23,16 +23,16 @@
         self.max_qps = 0.0
         self.min_latency = 0.0
         self.latency = 0.0  # mean of the last window; 0: no window has closed
-        self.lowest_latency = inf  # of all sends: the network's round trip and hardly any work
+        self.lowest_latency = inf  # minimum over all sends: the network round trip and little work
 
         self.inflight = 0
-        self.next_send_at = now  # sends wait for this: a drain, or the pace of a limit below one
-        self.sent_at = now  # of the last send
-        self.completed_at = now  # of the last completion
-        self.dropped_at = -inf  # of the last drop
-        self.busy_since = now  # since when sends are out
+        self.next_send_at = now  # no send before this time, during a drain or with a limit below one
+        self.sent_at = now  # time of the last send
+        self.completed_at = now  # time of the last completion
+        self.dropped_at = -inf  # time of the last drop
+        self.busy_since = now  # time since which sends are in flight
         self.consecutive_drops = 0
-        # Kept only where no other server could be asked instead (the origin); infinite elsewhere.
+        # Measured only for the origin, in place of which no other server can be asked; otherwise infinite.
         self.mean_send_interval = inf
 
         self.window_start = now
@@ -55,30 +55,31 @@
         self.window_latency_sum += latency
 
     def record_completion(self, latency: float, now: float) -> None:
-        """Note that a send has completed."""
+        """Record that a send has completed."""
         self.completed_at = now
         self.lowest_latency = min(self.lowest_latency, latency)
         self.consecutive_drops = 0
 
     def reset_window(self, now: float) -> None:
-        """Begin a new sample window."""
+        """Start a new sample window."""
         self.window_count = 0
         self.window_latency_sum = 0.0
         self.window_start = now
 
     def record_drop(self, sent_at: float, now: float) -> None:
-        """Note that a send was dropped, and begin a new window; what was out together counts as one drop."""
+        """Record a drop and start a new window. Sends that were in flight together count as one drop."""
         self.consecutive_drops += sent_at > self.dropped_at
         self.dropped_at = now
         self.latency = max(self.latency, now - sent_at)
         self.reset_window(now)
 
     def measure_window(self, now: float, known_weight: int) -> None:
-        """Average a window's latency and rate into what was known before.
+        """Average the latency and rate of a window into the earlier values.
 
-        After a retest its few samples are weighed against `known_weight` earlier ones.
+        After a retest, the few samples of its window are weighted against `known_weight` earlier ones.
         """
-        qps = self.window_count / max(now - self.window_start, 1.0)  # the true span; a clock may stand still
+        # The rate covers the actual duration, which is 0 if the clock stands still.
+        qps = self.window_count / max(now - self.window_start, 1.0)
         self.latency = max(self.window_latency_sum / self.window_count, self.latency_objective / 1e6)
         self.sample_count += self.window_count
         self._smooth_min_latency(known_weight)
@@ -97,5 +98,5 @@
             self.min_latency += rise * EMA_ALPHA
 
     def smooth_send_interval(self, interval: float) -> None:
-        """Take in the time between two sends."""
+        """Average the time between two sends into the mean."""
         self.mean_send_interval += (interval - self.mean_send_interval) * EMA_ALPHA
--- a/lupinladder/balancing/origin_fetch.py
+++ b/lupinladder/balancing/origin_fetch.py
@@ -1,4 +1,4 @@
-"""One key's fetch from the origin and who waits for it. No decision is made here: see balancer.py."""
+"""One key's fetch from the origin and its waiting requests. No decision is made here: see balancer.py."""
 
 from __future__ import annotations
 
--- a/lupinladder/balancing/outcome_recorder.py
+++ b/lupinladder/balancing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What an outcome says of the server, the origin and the pool; part of lupinladder/balancing/ policy."""
+"""What an outcome shows about the server, the origin and the pool; part of lupinladder/balancing/ policy."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from lupinladder.balancing.request_record import Attempt
 from lupinladder.balancing.server import Server
 
-EJECTION_FAILURE_RATE = 0.5  # smoothed failures from which on a server is ejected
-MAX_EJECTED_SHARE = 1 / 3  # of the pool
-EJECTION_OBJECTIVES = (2, 16)  # the first and the longest ejection, in latency objectives; it doubles
+EJECTION_FAILURE_RATE = 0.5  # smoothed failure rate above which a server is ejected
+MAX_EJECTED_SHARE = 1 / 3  # share of the pool that may be ejected
+EJECTION_OBJECTIVES = (2, 16)  # first and longest ejection in latency objectives; the duration doubles
 FAILURES = (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
 def record_outcome(
     pool: PoolState, key: int, attempt: Attempt, event: AttemptEnded, now: float
 ) -> str | None:
-    """Take in an ended attempt, signal by signal; returns a line for the log if its server is ejected."""
+    """Record an ended attempt; returns a line for the log if its server is ejected."""
     server = attempt.server
     outcome = event.outcome
     if event.load and pool.load_fields:
@@ -27,13 +27,13 @@
         server.on_load_report(held, rate / 1000, now, pool.latency_objective)
     is_late = outcome is Outcome.TIMEOUT or event.latency > pool.latency_objective
     fetched = event.cache_result >= CacheResult.MISS and not pool.settings.cache_aside
-    origin_is_slow = pool.fetch_overhead > pool.latency_objective / 2  # then drops tell of it alone
+    origin_is_slow = pool.fetch_overhead > pool.latency_objective / 2  # then it causes the drops
     is_sign = (is_late or server.busy_until > now) and not (fetched or origin_is_slow)
     if is_sign and _is_seldom_met(pool, server):
-        # No window will tell in time: one sign has to do, and lasts until the next send would have come.
-        spread = 0.5 + pool.random.random_fraction()  # not all balancers return at once
+        # No window closes in time, so one sample has to do. It counts until the next send is due.
+        spread = 0.5 + pool.random.random_fraction()  # balancers return at different times
         server.busy_until = now + server.limiter.max_send_interval * spread
-        if outcome is Outcome.TIMEOUT:  # asked last, not closed: it is one sample
+        if outcome is Outcome.TIMEOUT:  # the server is asked last but not closed: this is one sample
             pool.smooth_overload(server, 1)
             return None
     if attempt.is_fetch:
@@ -64,21 +64,22 @@
     if event.outcome is Outcome.OK:
         if fetched:
             pool.origin_limiter.on_complete(event.latency, now)
-    elif fetched or is_slow:  # dead fetches fill its queue, and each miss adds one
+    elif fetched or is_slow:  # abandoned fetches fill the origin's queue, and each miss adds one
         pool.origin_limiter.on_drop(now - event.latency, now)
 
 
 def _is_drop(pool: PoolState, server: Server, event: AttemptEnded) -> bool:
-    """One rejection among many served is no queue: to drain for it would close a sparse server. Nor is a
-    time-out of what began with less than the objective left, as a fetch does after a long wait."""
+    """Whether the outcome shows a full queue. One rejection among many successes does not: a drain for it
+    would stop the sends to a sparse server. Nor does the timeout of an attempt that started with less than
+    the objective remaining, such as a fetch after a long wait."""
     if event.outcome is Outcome.REJECTED:
         return server.is_rejecting()
     return event.latency >= pool.latency_objective
 
 
 def _record_health(pool: PoolState, server: Server, failed: bool, now: float) -> str | None:
-    """Eject a server that fails much more than the pool; when all fail alike, the fault is behind them.
-    Fast errors look like low latency: they count here, not in the window."""
+    """Eject a server that fails much more often than the pool. If all fail alike, the cause lies behind them.
+    Fast errors look like low latency, so they count here and not in the sample window."""
     pool.smooth_failures(server, failed)
     if not failed or server.is_origin or now < server.ejected_until:
         return None
@@ -91,4 +92,4 @@
     server.failure_rate = EJECTION_FAILURE_RATE
     pool.ejected_count += 1
     pool.touched[server] = None
-    return f"{server.id.hex()} out for {server.ejection_time:.0f} ms: attempts fail"
+    return f"{server.id.hex()} ejected for {server.ejection_time:.0f} ms: attempts fail"
--- a/lupinladder/balancing/point_ring.py
+++ b/lupinladder/balancing/point_ring.py
@@ -1,7 +1,7 @@
 """A ring of hashed points, each of which belongs to a server. No decision is made here: see slot_table.py.
 
-The points stand in buckets by their highest bits, so that a change of one server costs what its own points
-cost, and not a shift of all that lie behind them.
+The points are kept in buckets by their highest bits, so that the cost of a change grows with the points of
+the changed server and not with all points that follow them.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from lupinladder.balancing.server import Server
 
 POINT_BITS = 64
-BUCKET_BITS = 8  # some points a bucket with a few servers, some hundreds with thousands
+BUCKET_BITS = 8  # a few points per bucket with few servers, some hundreds with thousands
 
 
 class RingMember:
-    """A server with its points in the ring, and whether slots may go by them."""
+    """A server with its points in the ring, and whether they count for the owners of slots."""
 
     __slots__ = ("is_listed", "is_visible", "points", "replaced", "server", "weight")
 
     def __init__(self, server: Server, replaced: RingMember | None = None) -> None:
         self.server = server
-        self.weight = server.weight  # by which its points are counted
-        self.points: list[int] = []  # those in the ring
-        self.is_listed = True  # false: its points are to be taken out
+        self.weight = server.weight  # the weight for which its points were counted
+        self.points: list[int] = []  # its points in the ring
+        self.is_listed = True  # false: its points are to be removed
         self.is_visible = False
-        self.replaced = replaced  # the same server with another weight, visible until this one is
+        self.replaced = replaced  # the same server with its previous weight, which counts until this one does
 
 
 class PointRing:
-    """The points of all members in order; after the highest the lowest is next."""
+    """The points of all members in order; the lowest follows the highest."""
 
     def __init__(self) -> None:
-        self._points: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]  # by bucket, each in order
-        self._members: list[list[RingMember]] = [[] for _ in range(1 << BUCKET_BITS)]  # whose they are
+        self._points: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]  # by bucket, each sorted
+        self._members: list[list[RingMember]] = [[] for _ in range(1 << BUCKET_BITS)]  # member of each point
 
     def fill(self, members: list[RingMember], points: list[list[int]]) -> None:
-        """Put the points of all these members into an empty ring: several times as fast as one by one."""
+        """Fill an empty ring with the points of all members, several times as fast as by single inserts."""
         owners = dict[int, RingMember]()
         for member, own_points in zip(members, points, strict=True):
             owners |= dict.fromkeys(own_points, member)
@@ -56,8 +56,7 @@
             begin = end
 
     def insert(self, member: RingMember, points: list[int]) -> None:
-        """Put a member's points in. Equal ones stand in the order of their servers' ids, whatever the order
-        in which they came."""
+        """Insert a member's points. Equal points are ordered by server id, whatever the insertion order."""
         member.points = points
         for point in points:
             bucket = point >> (POINT_BITS - BUCKET_BITS)
@@ -71,7 +70,7 @@
             self._members[bucket].insert(place, member)
 
     def remove(self, member: RingMember) -> None:
-        """Take a member's points out."""
+        """Remove a member's points."""
         for point in member.points:
             bucket = point >> (POINT_BITS - BUCKET_BITS)
             place = bisect_left(self._points[bucket], point)
@@ -82,7 +81,7 @@
         member.points = []
 
     def members_from(self, position: int) -> Iterator[RingMember]:
-        """Whose points lie behind this position, one after another, once round the ring."""
+        """The member of each point after this position, in one full round of the ring."""
         first = position >> (POINT_BITS - BUCKET_BITS)
         place = bisect_right(self._points[first], position)
         yield from self._members[first][place:]
--- a/lupinladder/balancing/pool_review.py
+++ b/lupinladder/balancing/pool_review.py
@@ -1,25 +1,26 @@
-"""What a review changes: slots that load moves, warm-up; part of lupinladder/balancing/ policy."""
+"""What a periodic review changes: slot shares and warm-up; part of lupinladder/balancing/ policy."""
 
 from __future__ import annotations
 
 from lupinladder.balancing.pool_state import PoolState
 from lupinladder.balancing.server import Server
 
-REVIEW_OBJECTIVES = 2  # the time between reviews, in latency objectives
-OVERLOAD_RATE = 0.5  # of late, dropped or spilled sends, from which on slots move away
-CALM_RATE = OVERLOAD_RATE / 5  # below it they come back
-MIN_SLOT_SHARE = 0.25  # of its slots, what load leaves a server at the least
-SLOT_SHARE_DOWN = 1 / 16  # steps of a review
+REVIEW_OBJECTIVES = 2  # time between reviews, in latency objectives
+OVERLOAD_RATE = 0.5  # share of late, dropped or spilled sends above which slots move away
+CALM_RATE = OVERLOAD_RATE / 5  # share of such sends below which slots return
+MIN_SLOT_SHARE = 0.25  # minimum share of its slots that overload leaves a server
+SLOT_SHARE_DOWN = 1 / 16  # change of the slot share per review
 SLOT_SHARE_UP = 1 / 64
-# Of what pushes a cold server over. Most warm up sooner: held to the slowest, the rest drowns in a deploy.
+# Share of the load that overloads a cold server. Most servers warm up faster than the slowest: if all got
+# only what the slowest can take, the other servers would be overloaded during a deployment.
 OVERLOAD_FACTOR_SHARE = 0.8
 
 
 def review_pool(pool: PoolState, now: float) -> float:
-    """Set what may be sent by what has been sent since the last review; returns the time of the next.
+    """Update what each server may be sent by the sends since the last review; returns the time of the next.
 
-    It looks at the servers that something has happened to. What a warm-up leaves a server is set when that
-    is asked for: see `refresh_warm_up`.
+    Only the servers in `touched` are visited. The capacity of a server that warms up is updated when it is
+    needed: see `refresh_warm_up`.
     """
     pool.age(now)
     pool.endpoints.warm_weight.advance(now)
@@ -29,7 +30,7 @@
             del pool.touched[server]
             continue
         if not server.is_ready:
-            continue  # it may come back
+            continue  # it may become ready again
         _move_slots(pool, server)
         _warm_up(pool, server, now)
         if _is_settled(server, now):
@@ -38,19 +39,19 @@
 
 
 def refresh_warm_up(pool: PoolState, server: Server) -> None:
-    """Set what a server that warms up may carry, as of the last review."""
+    """Update what a server that warms up may be sent, as of the last review."""
     if server.warming_up and server.warmth_set_at < pool.reviewed_at:
         _warm_up(pool, server, pool.reviewed_at)
 
 
 def _is_settled(server: Server, now: float) -> bool:
-    """Whether no review changes anything until something happens to the server again."""
+    """Whether reviews change nothing until there is another event for the server."""
     has_all_slots = server.slot_share == 1 and server.overload_signal < CALM_RATE
     return has_all_slots and server.ejected_until <= now
 
 
 def _move_slots(pool: PoolState, server: Server) -> None:
-    """Move slots by load, stepwise, in the order of owners(); a sparse balancer needs many reviews."""
+    """Move slots stepwise by load, in the order that `owners` gives; a sparse balancer needs many reviews."""
     if server.overload_signal > max(OVERLOAD_RATE, 2 * pool.overload_signal):
         server.slot_share = max(server.slot_share - SLOT_SHARE_DOWN, MIN_SLOT_SHARE)
     elif server.overload_signal < CALM_RATE:
@@ -58,7 +59,7 @@
 
 
 def _warm_up(pool: PoolState, server: Server, now: float) -> None:
-    """Set what a started server may carry, by what the settings' slowest warm-up leaves it."""
+    """Set what a started server may be sent, by the slowest warm-up that the settings describe."""
     warmth = 1.0
     if server.warming_up:
         initial = pool.settings.initial_capacity
--- a/lupinladder/balancing/pool_state.py
+++ b/lupinladder/balancing/pool_state.py
@@ -1,4 +1,4 @@
-"""What one balancer knows of its pool. No decision is made here: see balancer.py."""
+"""What one balancer knows about its pool. No decision is made here: see balancer.py."""
 
 from __future__ import annotations
 
@@ -10,15 +10,14 @@
 from lupinladder.balancing.server import Server
 from lupinladder.balancing.settings import Settings
 
-HEALTH_ALPHA = 0.2  # smoothing of failures and rejections
-WARM_RATE_ALPHA = 0.25  # smoothing of the rate of sends to warm servers
-MIN_MISS_RATIO = 1 / 16  # also where it begins
-MEMORY_OBJECTIVES = (
-    16  # how long an answered key counts as kept, and a dropped fetch as a sign, in objectives
-)
-TENANT_HALVING_OBJECTIVES = 8  # a tenant's count halves in this time, in latency objectives
-HELD_FIELD = "rif"  # of a load report: the requests that a server holds
-RATE_FIELD = "rate"  # of a load report: the requests that it ends in a second
+HEALTH_ALPHA = 0.2  # smoothing factor of failures and rejections
+WARM_RATE_ALPHA = 0.25  # smoothing factor of the send rate to warm servers
+MIN_MISS_RATIO = 1 / 16  # minimum and initial value
+# Time for which an answered key counts as cached, and a dropped fetch as overload, in latency objectives.
+MEMORY_OBJECTIVES = 16
+TENANT_HALVING_OBJECTIVES = 8  # half-life of a tenant's request count, in latency objectives
+HELD_FIELD = "rif"  # load report: requests in flight at the server
+RATE_FIELD = "rate"  # load report: requests that the server completes per second
 
 
 def strictest_objective(settings: Settings) -> float:
@@ -29,7 +28,7 @@
 class PoolState:
     """The servers and the smoothed signals over all of them.
 
-    Times are milliseconds, rates of sends are by the millisecond, other rates and ratios from 0 to 1.
+    Times are in ms and send rates in sends per ms. Other rates and ratios are from 0 to 1.
     """
 
     def __init__(
@@ -46,21 +45,21 @@
         self.endpoints = endpoints
         self.slots = endpoints.slots
         self.random = random
-        self.min_limit = min_limit  # the least limit of a server
-        self.origin_limiter = origin_limiter  # read-through mode: of what servers may have to fetch
+        self.min_limit = min_limit  # minimum limit of a server
+        self.origin_limiter = origin_limiter  # read-through mode: limits the sends that may cause a fetch
         self.reviewed_at = now
 
-        self.warm_send_rate = 0.0  # own sends to a mean warm server, by unit of weight
-        self.touched: dict[Server, None] = {}  # the servers of which a review may change something
+        self.warm_send_rate = 0.0  # own sends per ms to a mean warm server, per unit of weight
+        self.touched: dict[Server, None] = {}  # the servers that a review may change
         self.ejected_count = 0
         self.failure_rate = 0.0
         self.overload_signal = 0.0  # smoothed share of sends that were spilled, dropped or late
-        self.tenant_requests = [0.0] * len(settings.tenant_quotas)  # decaying
+        self.tenant_requests = [0.0] * len(settings.tenant_quotas)  # decaying request count of each tenant
 
-        self.hit_latency = 0.0  # 0: no hit was seen
-        self.fetch_overhead = 0.0  # how much longer than a hit a fetch takes
-        # Read-through mode: keys answered lately, those answered in the time before, and the share of
-        # fetches among the sends for any other key.
+        self.hit_latency = 0.0  # 0: there was no hit
+        self.fetch_overhead = 0.0  # by how much a fetch takes longer than a hit
+        # Read-through mode: keys answered recently, keys answered in the period before, and the share of
+        # fetches among the sends for all other keys.
         self.recent_keys = set[int]()
         self.older_keys = set[int]()
         self.recent_keys_since = now
@@ -71,29 +70,29 @@
         self.load_fields = (fields.index(HELD_FIELD), fields.index(RATE_FIELD)) if has_both else None
 
     def smooth_overload(self, server: Server, sign: float) -> None:
-        """Take in one sign: 1 where a send was spilled, dropped or late, else 0."""
+        """Record one overload sample: 1 for a send that was spilled, dropped or late, else 0."""
         self.touched[server] = None
         server.overload_signal += (sign - server.overload_signal) * EMA_ALPHA
         self.overload_signal += (sign - self.overload_signal) * EMA_ALPHA / 10
 
     def smooth_rejections(self, server: Server, rejected: bool) -> None:
-        """Take in whether an attempt was rejected."""
+        """Record whether an attempt was rejected."""
         server.rejection_rate += (rejected - server.rejection_rate) * HEALTH_ALPHA
 
     def smooth_failures(self, server: Server, failed: bool) -> None:
-        """Take in whether an attempt failed."""
+        """Record whether an attempt failed."""
         server.failure_rate += (failed - server.failure_rate) * HEALTH_ALPHA
         self.failure_rate += (failed - self.failure_rate) * HEALTH_ALPHA / 10
 
     def smooth_misses(self, fetched: bool) -> None:
-        """Take in whether a key that was not known to be kept was fetched."""
+        """Record whether a key that was not recently answered had to be fetched."""
         self.miss_ratio = max(self.miss_ratio + (fetched - self.miss_ratio) * EMA_ALPHA, MIN_MISS_RATIO)
 
     def smooth_latency(self, event: AttemptEnded, fetched: bool) -> float:
-        """Take in how long a hit or a fetch took; returns what of it was the server's own time.
+        """Record the latency of a hit or a fetch; returns the server's own share of it.
 
-        A slow origin inflates every fetch: what all take longer is no load of this server. A fetch that
-        failed tells of no improvement.
+        A slow origin delays every fetch, and the delay that all fetches share is not load of this server. A
+        failed fetch does not show an improvement.
         """
         latency = event.latency
         succeeded = event.outcome is Outcome.OK
@@ -108,16 +107,16 @@
         return latency
 
     def count_tenant(self, tenant: int) -> float:
-        """Count a tenant's request; returns its decaying count."""
+        """Count a request of a tenant; returns its decaying count."""
         self.tenant_requests[tenant] += 1
         return self.tenant_requests[tenant]
 
     def has_recent_key(self, key: int) -> bool:
-        """Whether a key has been answered lately, and so counts as kept."""
+        """Whether a key was recently answered, and so counts as cached."""
         return key in self.recent_keys or key in self.older_keys
 
     def age(self, now: float) -> None:
-        """Take in the time since the last review: rates are averaged, and counts and keys grow old."""
+        """Close the interval since the last review: update mean rates, and let counts and keys expire."""
         span = max(now - self.reviewed_at, 1.0)
         self.reviewed_at = now
         self._smooth_warm_send_rate(span)
--- a/lupinladder/balancing/request_record.py
+++ b/lupinladder/balancing/request_record.py
@@ -1,4 +1,4 @@
-"""The records of a request and of its attempts. No decision is made here: see request_state.py."""
+"""The records of requests and their attempts. No decision is made here: see request_state.py."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
         self.request_class = request_class
         self.deadline = now + request.timeout
         self.attempts: list[Attempt] = []
-        self.finished = False  # has its final answer
-        self.over_quota = False  # its tenant asks for more than its quota
+        self.finished = False  # the request has its final answer
+        self.over_quota = False  # the tenant exceeds its quota
 
     def has_outstanding_attempt(self) -> bool:
-        """Whether an attempt has not ended."""
+        """Whether an attempt has not ended yet."""
         return any(a.outcome is None for a in self.attempts)
--- a/lupinladder/balancing/request_state.py
+++ b/lupinladder/balancing/request_state.py
@@ -1,4 +1,4 @@
-"""An open request, and what is still allowed for it; part of lupinladder/balancing/ policy."""
+"""An open request and what is still allowed for it; part of lupinladder/balancing/ policy."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class RequestState(RequestRecord):
-    """A request, with what the outcomes of its attempts still allow. Wrong here means an effect twice."""
+    """A request with what the outcomes of its attempts still allow. Errors here can cause an effect twice."""
 
     def possibly_executed(self) -> list[Attempt]:
-        """The attempts that may have run, the earliest first; outstanding ones may run."""
+        """The attempts that may have been executed, earliest first, with those that are outstanding."""
         return [a for a in self.attempts if a.outcome not in NOT_EXECUTED]
 
     def may_reject(self) -> bool:
-        """Whether the client may be told that a retry does no harm."""
+        """Whether the client may be told that a retry is safe."""
         safety = self.request_class.retry_safety
         if safety is RetrySafety.IDEMPOTENT or not self.possibly_executed():
             return True
@@ -26,7 +26,7 @@
         return safety is RetrySafety.IDEMPOTENCY_KEY and everywhere
 
     def may_attempt(self, server: Server, now: float, settings: Settings) -> bool:
-        """Whether an attempt at this server is allowed: within the time and count, with no effect twice."""
+        """Whether an attempt at this server is within the limits and cannot cause an effect twice."""
         if self.finished or now >= self.deadline or len(self.attempts) >= settings.max_attempts:
             return False
         if not settings.may_duplicate and self.has_outstanding_attempt():
--- a/lupinladder/balancing/server_state.py
+++ b/lupinladder/balancing/server_state.py
@@ -8,7 +8,7 @@
 
 
 class ServerState:
-    """What is known of a listed server. Times are milliseconds; rates and shares are from 0 to 1."""
+    """What is known about a listed server. Times are in ms; rates and shares are from 0 to 1."""
 
     def __init__(
         self,
@@ -19,32 +19,32 @@
         is_origin: bool = False,
     ) -> None:
         self.id = endpoint.server
-        self.is_origin = is_origin  # for good: attempts in flight still hold one that is listed no more
+        self.is_origin = is_origin  # constant: attempts in flight may refer to an origin that was removed
         self.id_hash = splitmix64(int.from_bytes(endpoint.server, "big"))
         self.endpoint = endpoint
         self.limiter = limiter
         self.is_ready = False  # listed, and neither draining nor gone
         self.weight = 1.0
 
-        self.slot_share = 1.0  # of its slots, what overload has left it
-        self.active_share = float(not warming_up)  # the same, less what it is too cold for
+        self.slot_share = 1.0  # share of its slots that overload has left it
+        self.active_share = float(not warming_up)  # the same, reduced during warm-up
 
         self.warming_up = warming_up
-        self.slow_start_credit = 0.0  # sends that a server that warms up may be given now
+        self.slow_start_credit = 0.0  # sends that a server may be given during slow start
         self.credit_updated_at = now
-        self.credit_rate = 0.0  # credit a millisecond
+        self.credit_rate = 0.0  # credit per ms
 
         self.failure_rate = 0.0  # smoothed
-        self.rejection_rate = 0.0  # smoothed; few are no queue, whatever their cause
+        self.rejection_rate = 0.0  # smoothed; a few rejections do not mean a full queue
         self.overload_signal = 0.0  # smoothed share of sends that were spilled, dropped or late
-        self.ejected_until = 0.0  # 0: not ejected since its last success
-        self.ejection_time = 0.0  # how long the last ejection was
-        self.busy_until = 0.0  # by then it has worked off what would keep a send waiting for too long
+        self.ejected_until = 0.0  # 0: not ejected since the last success
+        self.ejection_time = 0.0  # duration of the last ejection
+        self.busy_until = 0.0  # when its queue is short enough for further sends
         self.sends_since_review = 0
-        self.warmth_set_at = now  # when the share that its warm-up leaves it was set
+        self.warmth_set_at = now  # time of the last update of its warm-up
 
     def accrue_credit(self, now: float, most: float) -> None:
-        """Add the slow start credit of the time that has passed, up to `most` sends."""
+        """Add the slow-start credit earned since the last update, up to `most` sends."""
         earned = (now - self.credit_updated_at) * self.credit_rate
         self.slow_start_credit = min(most, self.slow_start_credit + earned)
         self.credit_updated_at = now
--- a/lupinladder/balancing/settings.py
+++ b/lupinladder/balancing/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the balancer: request classes, obligations and limits. All times are milliseconds."""
+"""The settings of the balancer: request classes, obligations and limits. All times are in ms."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 ServerId = bytes
 
-# Until a lost list is polled for again, at most. What a silent watch misses counts as known after 6 s (the
-# standing test's page): 3.2 s until it is known to be silent, this, and the 2 s that a call may take.
+# Maximum time in ms until a lost list is polled for again. A change that a silent watch misses counts as
+# known after 6 s (the standing test's page): 3.2 s until the silence is detected, this time, 2 s for a call.
 FIRST_POLL_RETRY_MS = 800.0
 
 
 class RetrySafety(Enum):
-    """What a second run of a request does."""
+    """What a repeated execution of a request does."""
 
-    IDEMPOTENT = "safe"  # nothing more than the first
-    IDEMPOTENCY_KEY = "keyed"  # nothing, where servers drop repeats by their key
-    NON_IDEMPOTENT = "unsafe"  # its effect again
+    IDEMPOTENT = "safe"  # no further effect
+    IDEMPOTENCY_KEY = "keyed"  # no further effect, where servers drop repeats by idempotency key
+    NON_IDEMPOTENT = "unsafe"  # the same effect again
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which servers drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,13 +31,13 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """What one class of requests asks for."""
+    """The requirements of one class of requests."""
 
     latency_objective: float  # an answer within this time has its full value
-    deadline: float  # the client's whole wait, over all its attempts
+    deadline: float  # total time that the client waits, over all its attempts
     retry_safety: RetrySafety = RetrySafety.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # with an idempotency key
-    deduplication_window: float = 0.0  # with an idempotency key: how long repeats are dropped, from the send
+    deduplication_window: float = 0.0  # with an idempotency key: how long repeats are dropped after the send
     priority_weight: float = 1.0
     late_weight: float = 0.0
     stream: bool = False
@@ -48,33 +48,33 @@
     """The settings of one balancer. Fields without a default are required."""
 
     classes: list[RequestClass]
-    balancer_count: int = 1  # how many balancers share the servers
+    balancer_count: int = 1  # number of balancers that share the servers
     balancer_index: int = 0
     zone: int = 0
-    poll_endpoints: bool = False  # the list is polled (else it is pushed)
-    poll_interval: float = 0.0  # how long a balancer without a subscription may go without polling
-    cache_aside: bool = False  # misses come back and go to the origin (else servers fetch by themselves)
-    origin_kind: int = -1  # the origin's kind in the list, where it is a member
+    poll_endpoints: bool = False  # the list is polled; otherwise it is pushed
+    poll_interval: float = 0.0  # maximum time without a poll for a balancer without a subscription
+    cache_aside: bool = False  # misses return and go to the origin; otherwise servers fetch by themselves
+    origin_kind: int = -1  # the origin's server kind, if the origin is listed
     max_attempts: int = 1
-    may_duplicate: bool = False  # two attempts of one request may be out together
+    may_duplicate: bool = False  # two attempts of one request may be in flight together
     may_cancel: bool = False
     may_probe: bool = False
-    max_retry_after: float = 0.0  # the longest pause that clients are told to make; 0: they are told none
-    drain_grace_period: float = 0.0  # grace for sends to a server known to drain or to be gone
-    initial_capacity: float = 1.0  # a started server can do at least this share of its full work
-    warmup_time: float = 0.0  # and is warm within this time
-    overload_factor: float = 0.0  # a server that warms up, sent over this multiple of what it can do
-    overload_duration: float = 0.0  # for this long falls over
-    tenant_quotas: list[float] = field(default_factory=list)  # requests a second over all balancers
-    over_quota_weight: float = 1.0  # value of what a tenant asks beyond its quota
-    live_weights: bool = False  # weights fall with the load of the moment
+    max_retry_after: float = 0.0  # longest pause that clients are told to make; 0: none
+    drain_grace_period: float = 0.0  # grace period for sends to a server that is known to drain or to be gone
+    initial_capacity: float = 1.0  # minimum share of its full capacity that a started server has
+    warmup_time: float = 0.0  # time until a started server is warm
+    overload_factor: float = 0.0  # multiple of its capacity that overloads a server that warms up
+    overload_duration: float = 0.0  # duration of that load after which the server fails
+    tenant_quotas: list[float] = field(default_factory=list)  # requests per second over all balancers
+    over_quota_weight: float = 1.0  # value of a tenant's requests beyond its quota
+    live_weights: bool = False  # weights fall with the current load
     report_fields: list[str] = field(default_factory=list)
 
     @property
     def poll_backoff(self) -> float:
-        """The unit of the delays until a lost list is polled for again: the first is one to three of it, the
-        longest twelve. Where lists are pushed, a change counts as known from its push on: half of the drain
-        grace period at most."""
+        """The unit in ms of the delays before a lost list is polled for again: the first delay is one to
+        three units, the longest twelve. Where lists are pushed, a change counts as known from its push on, so
+        that no delay is longer than half of the drain grace period."""
         if self.poll_endpoints:
             return min(self.poll_interval / 32 or inf, FIRST_POLL_RETRY_MS / 3)
         return max(self.drain_grace_period, 1.0) / 24
--- a/lupinladder/balancing/settings_reader.py
+++ b/lupinladder/balancing/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads the balancer's settings from their JSON text, for the proxy and the simulator."""
+"""Reads the balancer's settings from JSON text, for the proxy and the simulator."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from lupinladder.balancing.settings import DeduplicationScope, RequestClass, RetrySafety, Settings
 from lupinladder.errors import LupinladderError
 
-VALUE_BOUND = 1e12  # times and rates are below it
+VALUE_BOUND = 1e12  # upper bound of times and rates
 
 _MISSING = object()
 
 
 class SettingsError(LupinladderError, ValueError):
-    """Settings that cannot be used; the text names the key and its value."""
+    """Settings that cannot be used; the message names the key and its value."""
 
 
 def read_value(tree: Any, path: str, expected: type, default: Any = _MISSING) -> Any:
-    """The value at a dotted path of a JSON tree; a whole number is read as a float where one is expected.
+    """The value at a dotted path of a JSON tree. An integer is converted where a float is expected.
 
-    Raises SettingsError for a required value that is missing, and for one of a wrong type or out of range.
+    Raises SettingsError if a required value is missing, or if a value has a wrong type or is out of range.
     """
     value = _find(tree, path)
     if value is _MISSING:
@@ -40,7 +40,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings, from their JSON text. Unknown keys are skipped; raises SettingsError."""
+    """Parse the settings from JSON text. Unknown keys are ignored; raises SettingsError."""
     try:
         tree = json.loads(text)
     except ValueError as error:
@@ -89,7 +89,7 @@
 def _read_choice(tree: Any, path: str, choices: tuple[str, ...], default: Any = _MISSING) -> str:
     value: str = read_value(tree, path, str, default)
     if value not in choices:
-        message = f"settings: {path} is {value!r}"
+        message = f"settings: {path} is {value!r}, expected {' or '.join(choices)}"
         raise SettingsError(message)
     return value
 
@@ -97,13 +97,13 @@
 def _read_count(tree: Any, path: str) -> int:
     value: int = read_value(tree, path, int)
     if value < 1:
-        message = f"settings: {path} is {value}"
+        message = f"settings: {path} is {value}, expected at least 1"
         raise SettingsError(message)
     return value
 
 
 def _read_max_retry_after(tree: Any) -> float:
-    """How long clients may be told to stay away; 0 where they do not heed it."""
+    """The longest pause that clients may be told to make; 0 if they ignore such pauses."""
     if not read_value(tree, "ceilings.retry-after", bool, False):
         return 0.0
     value: float = read_value(tree, "ceilings.max-retry-after-ms", float, 0.0)
@@ -123,7 +123,7 @@
         latency_objective = read_value(tree, "goal-time-ms", float)
         deadline = read_value(tree, "deadline-ms", float)
         if deadline <= 0 or latency_objective <= 0:
-            message = "settings: goal-time-ms and deadline-ms are above 0"
+            message = "settings: goal-time-ms and deadline-ms must be above 0"
             raise SettingsError(message)
         return RequestClass(
             latency_objective,
--- a/lupinladder/balancing/slot_table.py
+++ b/lupinladder/balancing/slot_table.py
@@ -10,49 +10,47 @@
 from lupinladder.balancing.slot_load import SlotLoad
 from lupinladder.balancing.weight_scale import WeightScale
 
-MAX_OWNERS = 8  # owners of one slot that are looked at
-MAX_POINTS_LOOKED_AT = 8 * MAX_OWNERS  # for the owners of one slot
-POINTS_PER_SERVER = (
-    32  # points of a server among the hashed ids, so that many neighbours share what it leaves
-)
-MAX_POINTS = 16 * POINTS_PER_SERVER  # of one server, however far its weight is above the others'
-SPLIT_SHARE = 0.5  # a slot gets one more owner for each such share of a mean server's sends
-# Points that one call of `settle` puts into the ring or takes out, and those of one server more: some ms of a
-# processor.
+MAX_OWNERS = 8  # maximum number of owners considered for one slot
+MAX_POINTS_LOOKED_AT = 8 * MAX_OWNERS  # maximum points considered for the owners of one slot
+# Points of a server in the ring: enough that many other servers share the slots of a removed one.
+POINTS_PER_SERVER = 32
+MAX_POINTS = 16 * POINTS_PER_SERVER  # maximum points of one server, whatever its weight
+SPLIT_SHARE = 0.5  # share of a mean server's load for which a slot gets one more owner
+# Points that one call of `settle` inserts or removes in a few ms of CPU time. The last server may exceed it.
 POINTS_PER_STEP = 32 * POINTS_PER_SERVER
 
 
 class SlotTable:
-    """Who owns which slot: a pure function of the listed ids and weights, once settled, so that balancers
-    that know the same list agree, whatever the order in which they learned it.
+    """The owners of each slot. Once the rebuild is complete, they depend only on the listed ids and weights:
+    balancers with the same list agree, in whatever order they received it.
 
-    A change costs what the points of the changed servers cost. Who leaves owns nothing from then on. Who
-    comes is put into the ring step by step, and all of a list become owners at once: a table that is half
-    old and half new would be another one in each balancer.
+    The cost of a change grows with the points of the changed servers. Removed servers own nothing from then
+    on. Added servers are inserted into the ring step by step, and all servers of a list become owners at
+    once: a partly updated table would differ between balancers.
     """
 
     def __init__(self, hash_series: HashSeries = splitmix64_series) -> None:
-        """`hash_series` gives what `splitmix64_series` does: who hosts many tables may remember it."""
+        """`hash_series` must be equivalent to `splitmix64_series`; with many tables it may cache hashes."""
         self._hash_series = hash_series
         self._ring = PointRing()
         self._members: dict[ServerId, RingMember] = {}  # the listed servers
         self._scale = WeightScale()
         self._unit = 1.0
         self._visible_count = 0
-        self._waiting: list[RingMember] = []  # to be put into the ring
-        self._staged: list[RingMember] = []  # in the ring, to be owners once the list is whole
-        self._departed: list[RingMember] = []  # to be taken out of the ring
-        self._recounted: list[ServerId] = []  # whose points are to be counted by another unit
-        self._owners: dict[int, list[tuple[Server, float]]] = {}  # by slot, as far as asked for
+        self._waiting: list[RingMember] = []  # to be inserted into the ring
+        self._staged: list[RingMember] = []  # in the ring, to become owners once the list is complete
+        self._departed: list[RingMember] = []  # to be removed from the ring
+        self._recounted: list[ServerId] = []  # whose points are to be counted for a new unit of weight
+        self._owners: dict[int, list[tuple[Server, float]]] = {}  # by slot, computed on demand
         self.load = SlotLoad()
 
     def add(self, server: Server) -> None:
-        """Have a server own slots as soon as the table is settled."""
+        """Add a server, which owns slots as soon as the rebuild is complete."""
         self._scale.add(server.weight)
         self._stage(RingMember(server))
 
     def remove(self, server: Server) -> None:
-        """Have a server own no slot from now on; one that is not listed is no fault."""
+        """Remove a server, which owns no slots from now on; one that is not listed is ignored."""
         member = self._members.get(server.id)
         if member is not None and member.server is server:
             del self._members[server.id]
@@ -60,16 +58,16 @@
             self._hide(member)
 
     def reweigh(self, server: Server) -> None:
-        """Count a listed server's points by its present weight; it owns what it did until then."""
+        """Apply the new weight of a listed server, which keeps its slots until the rebuild is complete."""
         member = self._members[server.id]
         self._scale.remove(member.weight)
         self._scale.add(server.weight)
         self._restage(member)
 
     def settle(self, is_list_whole: bool = True) -> bool:
-        """Take a step towards the listed servers; true if there is none left to take.
+        """Take one step of the rebuild for the listed servers; true if no step remains.
 
-        `is_list_whole`: no more of the list that is being taken in is to come.
+        `is_list_whole`: no more parts of the current list follow.
         """
         left = POINTS_PER_STEP
         if is_list_whole and self._scale.unit != self._unit:
@@ -77,7 +75,7 @@
             self._recounted = list(self._members)
         left = self._recount(left)
         left = self._insert_waiting(left)
-        # Most servers may be missing: a few would be overrun, so that then each step counts.
+        # The first few owners of a new list would be overloaded, so each step counts until most are there.
         misses_most = 2 * self._visible_count < len(self._members)
         if misses_most or (is_list_whole and not self._recounted and not self._waiting):
             self._publish()
@@ -94,7 +92,7 @@
 
     def _insert_waiting(self, left: int) -> int:
         if not (self._visible_count or self._staged or self._departed):
-            return self._fill(left)  # nothing is in the ring, and nobody is sent anything by it
+            return self._fill(left)  # the ring is empty, and no request depends on it
         while self._waiting and left > 0:
             member = self._waiting.pop()
             if member.is_listed:
@@ -105,7 +103,7 @@
         return left
 
     def _fill(self, left: int) -> int:
-        """Put all that wait into an empty ring at once."""
+        """Insert all waiting members into an empty ring at once."""
         members = [member for member in self._waiting if member.is_listed]
         self._waiting = []
         first_and_count = ((m.server.id_hash, self._point_count(m)) for m in members)
@@ -121,7 +119,7 @@
             self._ring.remove(member)
 
     def _publish(self) -> None:
-        """Have the staged servers own slots."""
+        """Make the staged servers owners of slots."""
         if not self._staged:
             return
         for member in self._staged:
@@ -143,7 +141,7 @@
         self._waiting.append(member)
 
     def _restage(self, member: RingMember) -> None:
-        """Have a server's points counted anew, beside those that it has until then."""
+        """Count a server's points again; its present points count until the new ones do."""
         if member.is_visible:
             self._stage(RingMember(member.server, member))
             return
@@ -164,7 +162,7 @@
             member.replaced = None
 
     def owners(self, slot: int) -> list[tuple[Server, float]]:
-        """The slot's owners in order, each with the slot's place (0 to 1) in the order it takes them."""
+        """The slot's owners in order, each with the slot's rank (0 to 1) among those of the server."""
         found = self._owners.get(slot)
         if found is None:
             servers = self._servers_behind(splitmix64(slot))
@@ -173,7 +171,7 @@
         return found
 
     def _servers_behind(self, position: int) -> list[Server]:
-        """The first servers whose points lie behind this position."""
+        """The first servers with points after this position."""
         found = dict[Server, None]()
         looked_at = 0
         for member in self._ring.members_from(position):
@@ -186,6 +184,6 @@
         return list(found)
 
     def owner_count(self, slot: int) -> int:
-        """Count a send, and return how many owners share the slot: a hot key cannot be split below it."""
+        """Count a send; returns how many owners share the slot, as a hot key cannot be split over slots."""
         load = self.load.count(slot)
         return 1 + int(load / max(SPLIT_SHARE * self.load.mean_server_load, MIN_WINDOW_SAMPLES))
--- a/lupinladder/balancing/warm_weight.py
+++ b/lupinladder/balancing/warm_weight.py
@@ -1,4 +1,4 @@
-"""The summed weight of the servers that have warmed up. No decision is made here."""
+"""The total weight of the warm servers. No decision is made here."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 @dataclass(slots=True)
 class _Warming:
-    """A server that warms up until a time, in ms."""
+    """A server that warms up, and the time in ms at which it is warm."""
 
     server: Server
     warm_at: float
 
 
 class WarmWeight:
-    """Kept as servers come, go and warm up, so that nobody has to walk all of them. Times are ms."""
+    """Updated as servers are added, removed and warm up, without a loop over all of them. Times are in ms."""
 
     def __init__(self) -> None:
         self.total = 0.0
-        self._counted: dict[Server, float] = {}  # the warm servers, each with its weight
-        self._warming: list[_Warming] = []  # by time; some of them may have left
-        self._listed: dict[Server, None] = {}  # those of them that have not
+        self._counted: dict[Server, float] = {}  # the weight of each warm server
+        self._warming: list[_Warming] = []  # by time; it may contain removed servers
+        self._listed: dict[Server, None] = {}  # the servers in it that were not removed
 
     def __contains__(self, server: Server) -> bool:
-        """Whether a server is counted."""
+        """Whether a server is counted as warm."""
         return server in self._counted
 
     def add(self, server: Server, warm_at: float) -> None:
-        """Count a server that is ready: at once, or from `warm_at` on if it warms up."""
+        """Count a ready server: at once, or from `warm_at` on if it warms up."""
         if not server.warming_up:
             self._count(server)
             return
@@ -38,14 +38,14 @@
         insort(self._warming, _Warming(server, warm_at), key=lambda one: one.warm_at)
 
     def remove(self, server: Server) -> None:
-        """Count a server no more; one that was not added is no fault."""
+        """Stop counting a server; one that was not added is ignored."""
         self._listed.pop(server, None)
         self.total -= self._counted.pop(server, 0.0)
         if not self._counted:
-            self.total = 0.0  # sums of fractions leave something over
+            self.total = 0.0  # removes the rounding error of the sum
 
     def advance(self, now: float) -> None:
-        """Count those that are warm by now."""
+        """Count the servers that are warm by now."""
         due = 0
         while due < len(self._warming) and self._warming[due].warm_at <= now:
             server = self._warming[due].server
--- a/lupinladder/balancing/weight_scale.py
+++ b/lupinladder/balancing/weight_scale.py
@@ -1,23 +1,23 @@
-"""The unit in which servers' weights are counted. No decision is made here: see slot_table.py."""
+"""The unit of servers' weights. No decision is made here: see slot_table.py."""
 
 from __future__ import annotations
 
 from math import log2
 
-# Weights are summed as whole multiples of this part of one, so that the sum does not depend on the order in
-# which they were added and taken off.
+# Weights are summed as integer multiples of 1 / WEIGHT_PRECISION, so that the sum does not depend on the
+# order in which they were added and removed.
 WEIGHT_PRECISION = 1 << 32
-# Up to so many servers points are counted by the mean weight itself: that moves some points of all others
-# with each change, which costs little then.
+# Up to this number of servers the unit is the mean weight itself. Each change then moves some points of all
+# other servers, which costs little for so few.
 SERVERS_BY_MEAN = 256
 
 
 class WeightScale:
-    """The sum of the listed weights, and the unit in which they are counted: their mean or, with many
+    """The sum of the listed weights and the unit in which points are counted: the mean weight or, with many
     servers, the power of two nearest to it.
 
-    The mean moves with each server that comes or goes, and with it points of all others; the power of two
-    hardly ever does.
+    The mean changes with each added or removed server, and with it the points of all others. The power of two
+    rarely changes.
     """
 
     def __init__(self) -> None:
@@ -25,18 +25,18 @@
         self._count = 0
 
     def add(self, weight: float) -> None:
-        """Count a weight in."""
+        """Add a weight to the sum."""
         self._total += _as_parts(weight)
         self._count += 1
 
     def remove(self, weight: float) -> None:
-        """Take off a weight that was counted in."""
+        """Remove a weight that was added to the sum."""
         self._total -= _as_parts(weight)
         self._count -= 1
 
     @property
     def unit(self) -> float:
-        """What a weight of one is, for the list as it is; 1 without any."""
+        """The weight that counts as one for the current list; 1 if it is empty."""
         if not self._total:
             return 1.0
         mean = self._total / self._count / WEIGHT_PRECISION
--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -1,4 +1,4 @@
-"""Kinds of trouble, by symptom: each asserts the decision that matters. No simulation of servers."""
+"""Decisions of the balancer under typical faults, by symptom. Servers are not simulated."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def ask(proxy: Proxy, key: int, **more: object) -> int:
-    """One safe request. Returns its id."""
+    """Send an idempotent request; returns its id."""
     n = len(proxy.seen) + 1
     proxy.feed(RequestReceived(n, 0, 1500, key, **more))  # type: ignore[arg-type]
     return n
@@ -41,7 +41,7 @@
 def serve(
     proxy: Proxy, key: int, latency: float = 50, cache_result: CacheResult = CacheResult.HIT
 ) -> bytes | None:
-    """A request that is answered. Returns its first server, or None where it was rejected."""
+    """Send a request and answer it; returns its first server, or None if it was rejected."""
     n = ask(proxy, key)
     if not proxy.seen[n].tries:
         return None
@@ -79,8 +79,8 @@
     assert serve(proxy, 7) not in (bad, None)  # its keys go to the next owner
     proxy.advance(proxy.now + 1500)
     n = ask(proxy, 7)
-    assert server_of(proxy, n) == bad  # one trial
-    assert server_of(proxy, ask(proxy, 7)) != bad  # and one alone
+    assert server_of(proxy, n) == bad  # one probe
+    assert server_of(proxy, ask(proxy, 7)) != bad  # and no other at the same time
     proxy.end(n, 0, Outcome.OK)
     assert serve(proxy, 7) == bad
 
@@ -100,12 +100,12 @@
             came += server_of(proxy, n) == owner
             if server_of(proxy, n) == owner and came % every == 0:
                 proxy.end(n, 0, Outcome.REJECTED)
-                assert server_of(proxy, n, 1) != owner  # and it has not run: the next owner takes it
+                assert server_of(proxy, n, 1) != owner  # it was not executed, so the next owner gets it
             proxy.end(n, len(proxy.seen[n].tries) - 1, Outcome.OK, 50)
 
     limit = limiter.max_concurrency
     reject(every=2)
-    assert limiter.max_concurrency > limit / 2  # what it serves between shows that it has room
+    assert limiter.max_concurrency > limit / 2  # the requests that it serves show that it has room
     reject(every=1)
     assert limiter.max_concurrency <= 1
 
@@ -134,7 +134,7 @@
         elif proxy.seen[n].tries:
             proxy.end(n, 0, Outcome.OK, 50)
     assert out < 40  # the rest went to the next owner
-    proxy.advance(proxy.now + 1500)  # all run out of time
+    proxy.advance(proxy.now + 1500)  # all attempts time out
     before = len(proxy.sends)
     for _ in range(10):
         serve(proxy, 7)
@@ -142,7 +142,7 @@
 
 
 def test_a_slow_origin_closes_no_server_and_rejects_unknown_keys() -> None:
-    # In read-through mode fetches crawl and fail everywhere while hits stay fast.
+    # In read-through mode fetches are slow and fail on all servers while hits stay fast.
     proxy = proxy_of()
     warm(proxy)
     for key in range(1000, 1060):
@@ -155,11 +155,11 @@
         if proxy.seen[n].tries:
             proxy.now += 900
             proxy.feed(AttemptEnded(n, 0, Outcome.ERROR, 900.0, False, CacheResult.MISS))
-    assert len(proxy.seen[n].tries) <= 1  # a failed fetch is not repeated elsewhere
+    assert len(proxy.seen[n].tries) <= 1  # a failed fetch is not retried on another server
     rejected = sum(not proxy.seen[ask(proxy, key)].tries for key in range(3000, 3040))
-    assert rejected > 30  # one more fetch would only join the queue
-    assert all(serve(proxy, key) is not None for key in range(1, 100))  # hits go on
-    assert not any("out for" in note for note in proxy.notes)
+    assert rejected > 30  # a further fetch would only join the queue
+    assert all(serve(proxy, key) is not None for key in range(1, 100))  # hits are still sent
+    assert not any("ejected for" in note for note in proxy.notes)
 
 
 def test_cache_aside_concurrent_misses_wait_for_one_fetch() -> None:
@@ -239,15 +239,15 @@
         carry_out(actions)
 
     proxy.carry_out = note_reasons  # type: ignore[method-assign]
-    ask(proxy, 5)  # to an empty list
+    ask(proxy, 5)  # the list is empty
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(6)))
-    proxy.end(ask(proxy, 5), 0, Outcome.MISS)  # with no origin
+    proxy.end(ask(proxy, 5), 0, Outcome.MISS)  # there is no origin
     proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(sid(90), server_kind=1)]))
     proxy.end(ask(proxy, 5, is_write=True), 0, Outcome.ERROR)
     requests = [ask(proxy, 6) for _ in range(2)]
     for n in requests:
         proxy.end(n, 0, Outcome.MISS)
-    proxy.advance(proxy.now + 5000)  # the fetch and who waits for it run out of time
+    proxy.advance(proxy.now + 5000)  # the fetch and the request that waits for it time out
     assert reasons == [
         AnswerReason.NO_SERVER_ADMITS,
         AnswerReason.ORIGIN_CLOSED,
@@ -281,7 +281,7 @@
 def test_reloads_while_discovery_fails_add_no_calls() -> None:
     conf = balancer_harness.settings(poll_endpoints=True, poll_interval=10000.0)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
-    for _ in range(5):  # each reload opens a watch at once, which fails like the one before
+    for _ in range(5):  # each reload opens a watch at once, which fails like the previous one
         proxy.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
         proxy.advance(proxy.now + 10)
     proxy.advance(proxy.now + 10_000)
@@ -302,11 +302,11 @@
                 proxy.advance(at)
         return found
 
-    # A watch is known to be silent after 3.2 s, and a call may take 2 s: within 6 s all of it.
+    # A watch is known to be silent after 3.2 s and a call may take 2 s: all of it must take less than 6 s.
     for within in (500.0, 10000.0, 60000.0, 0.0):
         assert min(waits(1, poll_endpoints=True, poll_interval=within)) > 0, within
         assert max(waits(1, poll_endpoints=True, poll_interval=within)) <= 800, within
-    # Pushed: what waits there counts as told whether or not a watch is open.
+    # Pushed: a change counts as known from its push on, whether or not a watch is open.
     assert max(waits(6, poll_endpoints=False, drain_grace_period=400.0, poll_interval=10000.0)) <= 200
 
 
@@ -323,7 +323,7 @@
         ask(proxy, 7, tenant=0)
     assert limit.inflight == 7
     assert not proxy.seen[ask(proxy, 7, tenant=0)].tries
-    assert proxy.seen[ask(proxy, 7, tenant=1)].tries  # room was left for who keeps to its share
+    assert proxy.seen[ask(proxy, 7, tenant=1)].tries  # room remains for a tenant within its quota
 
 
 def test_load_moves_slots_from_a_server_that_is_overloaded_and_brings_them_back() -> None:
@@ -337,7 +337,7 @@
         proxy.now += 30
         if proxy.seen[n].tries:
             proxy.feed(AttemptEnded(n, 0, Outcome.OK, 900.0 if late else 50.0, True, CacheResult.HIT))
-    assert 0.25 <= server.slot_share < 1  # bounded: it keeps a quarter of its slots
+    assert 0.25 <= server.slot_share < 1  # bounded: it keeps at least a quarter of its slots
     others = [s.slot_share for s in proxy.balancer.members.values() if s is not server]
     assert min(others) == 1.0
     for _ in range(15):
@@ -349,7 +349,7 @@
 def test_the_work_for_a_request_does_not_grow_with_the_pool() -> None:
     def calls(n: int) -> float:
         proxy = proxy_of(n)
-        for key in range(1, 300):  # owners known, windows closed
+        for key in range(1, 300):  # until owners are computed and windows are closed
             serve(proxy, key, 1)
         proxy.balancer.review_at = float("inf")
         count = 0
@@ -379,13 +379,13 @@
 
 def test_an_owner_that_stands_still_is_passed_over_until_it_answers() -> None:
     proxy = proxy_of(balancer_count=1)
-    warm(proxy, 1000)  # windows have closed: the mean latency is known
+    warm(proxy, 1000)  # windows have closed, so the mean latency is known
     owner = serve(proxy, 7)
     assert owner is not None
     limiter, latency = proxy.balancer.members[owner].limiter, 50.0
     out = [ask(proxy, 7), ask(proxy, 7)]
     assert [server_of(proxy, n) for n in out] == [owner, owner]
-    proxy.now += latency + 1  # nothing has come back for longer than its mean latency
+    proxy.now += latency + 1  # nothing has completed for longer than the mean latency
     assert limiter.admits(proxy.now), "its limit has room"
     assert serve(proxy, 7) not in (owner, None)
     proxy.end(out[0], 0, Outcome.OK)
--- a/tests/balancing/test_balancer_rules.py
+++ b/tests/balancing/test_balancer_rules.py
@@ -1,4 +1,4 @@
-"""The four rules as properties over generated events, each seen to fail when its guard is removed."""
+"""The four rules as properties over generated events. Each rule is shown to break without its guard."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def play(seed: int, **config: object) -> Proxy:
-    """A rough stretch: requests of all classes, all outcomes, members that come, drain and go."""
+    """Feed random events: requests of all classes, all outcomes, and servers added, draining and removed."""
     draw = random.Random(seed)
     conf = balancer_harness.settings(**config)
     proxy = Proxy(Balancer(conf, seed, 0.0), conf)
@@ -68,7 +68,7 @@
     proxy.advance(proxy.now + 5000)
     left = [i for i, one in proxy.seen.items() if not one.answered]
     assert not left, f"requests without an answer: {left}"
-    assert not proxy.balancer.open_requests, "requests still held after their end"
+    assert not proxy.balancer.open_requests, "requests still open after their end"
     return proxy
 
 
@@ -88,7 +88,7 @@
 
 
 def fails(text: str) -> None:
-    """Some stretch must break the named rule."""
+    """At least one run must break the named rule."""
     found = []
     for seed in range(60):
         for mode in MODES:
@@ -98,7 +98,7 @@
                 found.append(str(broken))
                 if text in found[-1]:
                     return
-    message = f"no stretch broke {text!r}; seen: {set(found)}"
+    message = f"no run broke {text!r}; seen: {set(found)}"
     raise AssertionError(message)
 
 
@@ -107,11 +107,11 @@
         return
 
     monkeypatch.setattr(Balancer, "hold_until_deadline", never)
-    fails("answered too late")  # at the deadline of the fetch it waits for, whose client waits longer
+    fails("answered too late")  # at the deadline of the fetch that it waits for, whose client waits longer
 
 
 def careless(state: RequestState, text: str) -> RequestState:
-    """A copy of the request that is read as one with fewer restrictions."""
+    """A copy of the request with fewer restrictions."""
     loose = copy.copy(state)
     if text == "forgotten":
         loose.request_class = dataclasses.replace(state.request_class, deduplication_window=float("inf"))
@@ -150,14 +150,14 @@
 
 
 def slow_start_budget(calls: float) -> float:
-    """What a joiner may be sent where the settings allow it so many calls; chance is part of it."""
+    """What a started server may be sent when the settings allow `calls` on average, with random variation."""
     return calls + 3 * sqrt(calls) + 3 if calls < 30 else calls + 2 * sqrt(calls) + 2
 
 
 def warmup_load(seed: int, balancers: int = 4, quiet_ms: int = 0) -> float:
-    """The highest share of its fall budget that one of three joiners was sent, by all balancers together.
+    """The highest share of its overload budget that all balancers sent to one of three started servers.
 
-    `quiet_ms`: no request comes for so long before they join, and then a burst.
+    `quiet_ms`: time without requests before they are added, followed by a burst.
     """
     conf = balancer_harness.settings(balancer_count=balancers)
     draw = random.Random(seed)
@@ -169,7 +169,7 @@
     joined = [sid(i) for i in range(20, 23)]
     n = 0
     joined_at = 4000 + quiet_ms
-    request_chance = 0.25  # 125 a second over six warm servers that do 25 each
+    request_chance = 0.25  # 125 per second over six warm servers that handle 25 each
     while now < joined_at + 20000:
         now += 2
         for at, proxy, which in [e for e in ended if e[0] <= now]:
@@ -200,7 +200,7 @@
 
 
 def test_no_server_that_warms_up_is_overloaded_and_none_is_left_idle() -> None:
-    """Offered only what the slowest warm-up can do (0.25 of the budget here), it idles while others drown."""
+    """Limited to the slowest warm-up (0.25 of the budget here), a server would idle while others overload."""
     for seed in (1, 2, 3):
         assert 0.4 < warmup_load(seed) < 1
 
--- a/tests/balancing/test_concurrency_limiter.py
+++ b/tests/balancing/test_concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""The limiter's arithmetic, worked by hand from brpc's formula."""
+"""The limiter's arithmetic, compared with results worked out by hand from brpc's formula."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def fill(
     limiter: ConcurrencyLimiter, start: float, step: float, latency: float, n: int = WINDOW_SAMPLES
 ) -> float:
-    """n completed sends, one each `step` ms. Returns the time of the last."""
+    """Complete `n` sends, one every `step` ms; returns the time of the last."""
     now = start
     for _ in range(n):
         now += step
@@ -40,19 +40,19 @@
 def test_first_window_sets_min_latency_and_the_formula_the_limit() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     fill(limiter, 0, 10, 100)
-    # 16 sends in 160 ms: 0.1 a millisecond. alpha = 500 / 100 - 2 = 3. Room is (2 + 3) * 100 - 100 = 400.
+    # 16 sends in 160 ms: 0.1 per ms. alpha = 500 / 100 - 2 = 3. The headroom is (2 + 3) * 100 - 100 = 400.
     assert limiter.min_latency == 100 and limiter.latency == 100 and isclose(limiter.max_qps, 0.1)
-    # 0.1 * 400 = 40 and, at the unloaded latency, the whole swing 1 + sqrt(40).
+    # 0.1 * 400 = 40 and, at the unloaded latency, the full allowance for variation of 1 + sqrt(40).
     assert isclose(limiter.max_concurrency, 40 + 1 + sqrt(40))
 
 
 def test_where_nobody_else_could_be_asked_the_swing_is_one_send_more_while_latency_leaves_room() -> None:
-    for latency, more in ((50, 1.0), (600, 0.0)):  # 600: beyond the room of what was first seen
+    for latency, more in ((50, 1.0), (600, 0.0)):  # 600 exceeds the headroom over the first latency
         limits = []
         for interval in (inf, OBJECTIVE):
             limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.01, False)
             limiter.mean_send_interval = interval
-            now = fill(limiter, 0, 500, 50)  # two a second, as a balancer among 200 fetches
+            now = fill(limiter, 0, 500, 50)  # two per second, like one of 200 balancers that fetch
             fill(limiter, now, 500, latency)
             limits.append(limiter.max_concurrency)
         assert isclose(limits[1] - limits[0], more, abs_tol=0.02), limits
@@ -66,11 +66,10 @@
     )
     sparse = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     fill(sparse, 0, WINDOW_OBJECTIVES * OBJECTIVE, 100, MIN_WINDOW_SAMPLES - 1)
-    assert (
-        sparse.window_count == MIN_WINDOW_SAMPLES - 1 and sparse.max_concurrency == inf
-    )  # too few: it stays open
+    # With too few samples the window stays open.
+    assert sparse.window_count == MIN_WINDOW_SAMPLES - 1 and sparse.max_concurrency == inf
     fill(sparse, 3 * WINDOW_OBJECTIVES * OBJECTIVE, WINDOW_OBJECTIVES * OBJECTIVE, 100, 1)
-    assert isclose(sparse.max_qps, 4 / (4 * WINDOW_OBJECTIVES * OBJECTIVE))  # over the true span
+    assert isclose(sparse.max_qps, 4 / (4 * WINDOW_OBJECTIVES * OBJECTIVE))  # over the actual duration
 
 
 def test_max_qps_jumps_up_and_decays_by_a_tenth_of_ema_alpha() -> None:
@@ -88,7 +87,7 @@
     now = fill(limiter, now, 10, 200)
     assert isclose(limiter.min_latency, 110)
     now = fill(limiter, now, 10, 50)
-    assert isclose(limiter.min_latency, 110)  # a lower mean leaves it to the retest
+    assert isclose(limiter.min_latency, 110)  # a lower mean is left to the retest
     for _ in range(200):
         limiter.retest_at = inf
         now = fill(limiter, now, 10, 2000)
@@ -104,14 +103,13 @@
     assert limiter.admits(now)
     limiter.on_send(now)
     limiter.inflight -= 1
-    # Little's law: a mean concurrency of 0.5 at 900 ms is a send each 1,800 ms.
+    # By Little's law, a mean concurrency of 0.5 at 900 ms is one send every 1,800 ms.
     assert not limiter.admits(now + 1799) and limiter.admits(now + 1800)
     limiter.max_concurrency = 0.01
     limiter.on_send(now + 1800)
     limiter.inflight -= 1
-    assert limiter.admits(
-        now + 1800 + WINDOW_OBJECTIVES * OBJECTIVE
-    )  # bounded: else it never hears of a recovery
+    # The interval is bounded: otherwise a recovery would go unnoticed.
+    assert limiter.admits(now + 1800 + WINDOW_OBJECTIVES * OBJECTIVE)
 
 
 def test_a_limit_below_one_recovers_on_one_sample() -> None:
@@ -127,10 +125,10 @@
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     now = fill(limiter, 0, 10, 100)
     limiter.on_drop(now - 50, now + 450)
-    assert limiter.max_concurrency > 1  # a later send has completed: the request was heavy, not the server
+    assert limiter.max_concurrency > 1  # a later send has completed: only the request was expensive
     limiter.on_drop(now + 1, now + 501)
     assert limiter.max_concurrency == 0.5
-    assert not limiter.admits(now + 1000) and limiter.admits(now + 1001)  # paused for as long as it took
+    assert not limiter.admits(now + 1000) and limiter.admits(now + 1001)  # paused for the attempt's duration
 
 
 def test_retest_cuts_drains_and_measures() -> None:
@@ -139,7 +137,7 @@
     assert limiter.retest_at == now + RETEST_LATENCIES * 100
     limiter.inflight = 10
     now = fill(limiter, limiter.retest_at, 1, 150)
-    assert limiter.max_concurrency == 5 and limiter.is_retesting  # under the ten in flight
+    assert limiter.max_concurrency == 5 and limiter.is_retesting  # below the ten in flight
     assert not limiter.admits(now + 299)
     limiter.inflight = 0
     assert limiter.admits(now + 300)  # drained for twice the latency of 150
@@ -156,14 +154,15 @@
     fill(limiter, 0, 10, 100)
     limiter.inflight = 2
     fill(limiter, limiter.retest_at, 1, 100)
-    # The last window fell into the long wait, so qps has decayed by a hundredth from 0.1; no rise in latency.
+    # The last window includes the long wait, so qps has decayed by a hundredth from 0.1; latency is constant.
     full = 0.099 * 400 + 1 + sqrt(0.099 * 400)
     assert limiter.is_retesting and isclose(limiter.max_concurrency, full / 4, rel_tol=0.02)
 
 
 def test_retests_leave_a_sparse_server_its_limit_most_of_the_time() -> None:
-    # A retest holds a few sends a second to one at a time until eight are measured. Every 100 latencies that
-    # was a quarter of the time, and most refusals of a fleet with room to spare.
+    # A retest limits a server with a few sends per second to one at a time until eight are measured. With a
+    # retest every 100 latencies, that was a quarter of the time and caused most rejections of a fleet that
+    # had room to spare.
     limiter, now, cut = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False), 0.0, 0
     for _ in range(1000):
         now += 200
@@ -176,7 +175,7 @@
 
 
 def test_a_limit_is_rounded_to_the_nearest_number_of_sends() -> None:
-    # Rounded down, a limit of 1.9 let one send through at a time; and at least one always goes.
+    # Rounded down, a limit of 1.9 would admit one send at a time. At least one send is always admitted.
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     for limit, admitted in ((0.5, 1), (1.0, 1), (1.4, 1), (1.9, 2), (2.4, 2), (2.5, 3), (8.0, 8)):
         limiter.max_concurrency, limiter.inflight = limit, 0
@@ -204,12 +203,12 @@
 
 def test_a_server_that_is_far_away_is_not_held_to_less_than_it_carries_unloaded() -> None:
     limiter, now = ConcurrencyLimiter(0.0, 66.0, 0.5, False), 0.0
-    for n in range(400):  # 8 in flight; 28 of the 40 ms are the way there and back
+    for n in range(400):  # 8 in flight; the network round trip is 28 of the 40 ms
         now += 5
         limiter.on_complete(40 if n % 2 else 42, now)
     assert limiter.max_concurrency >= 8
     near, now = ConcurrencyLimiter(0.0, 66.0, 0.5, False), 0.0
-    for n in range(400):  # 1 ms away: that it takes 40 is its queue, and the bound stays
+    for n in range(400):  # 1 ms away: its 40 ms are time in the queue, and the bound stays
         now += 5
         near.on_complete(40 if n % 20 else 1, now)
     assert near.min_latency <= 66 / 2.3
--- a/tests/balancing/test_many_balancers.py
+++ b/tests/balancing/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""What holds for the sum over many balancers, each of which meets a server seldom."""
+"""Properties of the sum over many balancers, each of which rarely sends to a given server."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def send(proxy: Proxy, number: int, load: tuple[float, ...] = ()) -> bytes:
-    """Ask for key 1, answer it after 20 ms with this report, and say which server was sent to."""
+    """Send a request for key 1, answer it after 20 ms with this load report, and return its server."""
     proxy.feed(RequestReceived(number, 0, 1500.0, key=1))
     proxy.now += 20
     proxy.feed(AttemptEnded(number, 0, Outcome.OK, 20.0, True, CacheResult.HIT, load))
@@ -41,7 +41,7 @@
 class ProbesOfDroppedServers(TestCase):
     def test_trials_of_a_server_that_lost_all_do_not_add_up_with_the_balancers(self) -> None:
         def probes(balancers: int) -> int:
-            """By all, in 20 s, with whatever is sent lost after 600 ms."""
+            """The probes of all balancers in 20 s, if each send is dropped after 600 ms."""
             count = 0
             for _ in range(balancers):
                 limiter, now = ConcurrencyLimiter(0.0, 300.0, min(1.0, 2 / balancers), False), 0.0
@@ -59,14 +59,14 @@
             self.assertLess(probes(many), 1.5 * few)
 
     def test_the_origin_is_tried_again_by_what_it_carried_however_many_and_uneven_the_balancers(self) -> None:
-        # How many ms apart a balancer fetches differs from one to the next.
+        # The time in ms between the fetches of a balancer differs from one balancer to the next.
         for balancers, asked in ((1, 40), (3, 200), (200, 200), (200, 1000), (200, 4000)):
             with self.subTest(balancer_count=balancers, asked=asked):
                 conf = settings(balancer_count=balancers, cache_aside=True, origin_kind=1)
                 proxy = Proxy(Balancer(conf, 1, 0.0), conf)
                 proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, [Endpoint(b"origin", server_kind=1)]))
                 lost, back, number = 0, 0.0, 0
-                cut, over = 20_000, 26_000  # nothing comes back in between
+                cut, over = 20_000, 26_000  # no attempt completes in between
                 while not back:
                     proxy.advance(proxy.now + asked)
                     number += 1
@@ -91,7 +91,7 @@
             fleet.run(9000, 200)
             offered += sum(node.sent[s] for s in range(4, 9)) / 10
             warm += sum(sum(one.sent[s] for s in range(4, 9)) for one in fleet.nodes.values()) / 14 / 10
-        # What would push the slowest over is 3 x 0.22 of what a warm one can do; begun at zero, 0.04 came.
+        # The slowest server fails at 3 x 0.22 of a warm server's load. Without initial credit it got 0.04.
         self.assertGreater(offered, 0.12 * warm)
         self.assertLess(offered, 3 * 0.22 * warm)
 
@@ -101,7 +101,7 @@
         for balancers, closed, sent in ((200, 3, 1), (4, 3, 0), (4, 2, 1)):
             proxy = lone_proxy(balancer_count=balancers)
             owners = [server for server, _ in proxy.balancer.slots.owners(splitmix64(1) % SLOT_COUNT)]
-            for server in owners[:closed]:  # a retest's drain, or the pace of a limit below one
+            for server in owners[:closed]:  # as during the drain of a retest, or with a limit below one
                 server.limiter.next_send_at = proxy.now + 1000
             proxy.feed(RequestReceived(1, 0, 1500.0, key=1))
             self.assertEqual([to for to, _ in proxy.seen[1].tries], [owners[closed].id][:sent])
@@ -126,10 +126,10 @@
 class LoadReports(TestCase):
     def test_a_server_is_passed_over_until_it_has_worked_off_what_it_holds(self) -> None:
         proxy = lone_proxy()
-        first = send(proxy, 1, (20.0, 1.0))  # alone with one request: 20 a second, nothing waits
+        first = send(proxy, 1, (20.0, 1.0))  # one request in flight at 20 per second: no queue
         self.assertEqual(send(proxy, 2, (20.0, 11.0)), first)  # ten more: half a second of work
         self.assertNotEqual(send(proxy, 3, (20.0, 1.0)), first)
-        proxy.advance(proxy.now + 250)  # the rest is within half the aim
+        proxy.advance(proxy.now + 250)  # the remaining work takes less than half the objective
         self.assertEqual(send(proxy, 4), first)
 
     def test_no_report_or_one_without_the_figures_changes_nothing(self) -> None:
@@ -140,10 +140,10 @@
 
     def test_with_many_balancers_one_sign_of_a_queue_lasts_until_the_next_sends(self) -> None:
         ends = {
-            "out of time": (Outcome.TIMEOUT, 1500.0, ()),
+            "timed out": (Outcome.TIMEOUT, 1500.0, ()),
             "late": (Outcome.OK, 600.0, ()),
             "late, with a good report": (Outcome.OK, 600.0, (20.0, 1.0)),
-            "its report": (Outcome.OK, 20.0, (20.0, 13.0)),
+            "load report": (Outcome.OK, 20.0, (20.0, 13.0)),
         }
         for name, (outcome, latency, load) in ends.items():
             with self.subTest(name):
@@ -152,7 +152,8 @@
                 first = proxy.seen[1].tries[0][0]
                 proxy.now += latency
                 proxy.feed(AttemptEnded(1, 0, outcome, latency, True, CacheResult.HIT, load))
-                proxy.now += 15_000  # a server is met once in some ten seconds: half of 40 s, at the least
+                # A balancer sends to a server about every ten seconds; the signal lasts half of 40 s or more.
+                proxy.now += 15_000
                 self.assertNotEqual(send(proxy, 2), first)
                 proxy.now += 50_000
                 self.assertEqual(send(proxy, 3), first)
--- a/tests/balancing/test_slot_table.py
+++ b/tests/balancing/test_slot_table.py
@@ -1,4 +1,4 @@
-"""The slots: one owner each, bounded movement, the same in every balancer."""
+"""Slots: each has one owner, a change moves few of them, and all balancers agree."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def table_of(fleet: list[Server]) -> SlotTable:
-    """The settled table of these servers."""
+    """The table of these servers after a complete rebuild."""
     slots = SlotTable()
     for server in fleet:
         slots.add(server)
@@ -57,7 +57,7 @@
     heirs = {s: slots.owners(s)[1][0].id for s in range(SLOT_COUNT) if slots.owners(s)[0][0].id == sid(7)}
     after = owner_map([i for i in range(30) if i != 7])
     assert all(after[slot] == heir for slot, heir in heirs.items())
-    assert len(set(heirs.values())) > 8  # no single neighbour is buried
+    assert len(set(heirs.values())) > 8  # no single server gets all of them
 
 
 def test_weights_scale_the_share_of_slots() -> None:
--- a/tests/balancing/test_work_by_size.py
+++ b/tests/balancing/test_work_by_size.py
@@ -32,18 +32,18 @@
 
 
 class CountedHashes:
-    """Hashes for a slot table, which are counted."""
+    """Provides the hashes of a slot table and counts them."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def series(self, first: int, count: int) -> list[int]:
-        """What `splitmix64_series` gives."""
+        """The same hashes as `splitmix64_series`."""
         self.count += count
         return splitmix64_series(first, count)
 
     def during(self, act: Callable[[], object]) -> int:
-        """How many hashes the slot table computes meanwhile."""
+        """The number of hashes that the slot table computes during this call."""
         before = self.count
         with mock.patch.object(slot_table, "splitmix64", side_effect=splitmix64) as hashing:
             act()
@@ -51,7 +51,7 @@
 
 
 def listed(count: int, hashes: CountedHashes | None = None) -> Balancer:
-    """A balancer that has taken in a list of so many servers, in as many steps as it takes for that."""
+    """A balancer that has applied a list of `count` servers, in as many steps as that takes."""
     balancer = Balancer(settings(), 1, 0.0, SlotTable((hashes or CountedHashes()).series))
     balancer.start(0.0)
     actions = balancer.handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, entries(count)), 0.0)
@@ -105,7 +105,7 @@
     assert balancer.slots._visible_count == 2 * LARGE_FLEET
 
 
-Change = tuple[int, int]  # a server's number, and its weight in quarters; 0: it leaves
+Change = tuple[int, int]  # a server's number, and its weight in quarters; 0: it is removed
 
 
 @given(
@@ -115,7 +115,7 @@
 def test_the_owners_of_all_slots_follow_from_the_list_alone(
     changes: list[Change], rng: random.Random
 ) -> None:
-    """Whatever the order, the batches and the steps between them by which the list was learned."""
+    """The order, the batches and the rebuild steps between them must not matter."""
     learned = Balancer(settings(), 1, 0.0)
     version = 0
     last = dict[int, int]()
@@ -139,7 +139,7 @@
 
 
 def changed(number: int, quarters: int) -> Endpoint:
-    """The entry of a server with a weight of so many quarters, or of one that is gone."""
+    """The entry of a server with this weight in quarters, or of a server that is gone."""
     if not quarters:
         return Endpoint(sid(number), EndpointState.GONE)
     return Endpoint(sid(number), weight=quarters / 4)
