--- a/lupinladder/balancing/balancer.py
+++ b/lupinladder/balancing/balancer.py
@@ -17,7 +17,7 @@
 from lupinladder.balancing.origin_fetch import OriginFetch
 from lupinladder.balancing.outcome_recorder import record_outcome
 from lupinladder.balancing.pool_review import MIN_SLOT_SHARE, refresh_warm_up
-from lupinladder.balancing.pool_state import MEMORY_OBJECTIVES, PoolState, strictest_objective
+from lupinladder.balancing.pool_state import RECENCY_OBJECTIVES, PoolState, strictest_objective
 from lupinladder.balancing.request_record import Attempt
 from lupinladder.balancing.request_state import RequestState
 from lupinladder.balancing.server import Server
@@ -70,7 +70,7 @@
         server.limiter.restore(event, self.now)
         server.slot_share = server.active_share = min(max(event.slot_share, MIN_SLOT_SHARE), 1.0)
         server.failure_rate = event.failure_rate
-        self.pool.touched[server] = None
+        self.pool.pending_review[server] = None
 
     def accepts(self, request_id: int, request_class: int) -> bool:
         """Whether a request may be opened: its id is not open, and its class exists."""
@@ -97,20 +97,20 @@
         """Send the request to the first owner of its slot that admits it, else reject it."""
         slot = splitmix64(state.request.key or state.request.request_id) % SLOT_COUNT
         candidates, owner_count = self._candidates(slot)
-        is_known = state.request.is_write or self.pool.has_recent_key(state.request.key)
-        is_fetch = not (is_known or self.settings.cache_aside)
+        is_recent = state.request.is_write or self.pool.has_recent_key(state.request.key)
+        is_fetch = not (is_recent or self.settings.cache_aside)
         if is_fetch and not self._origin_admits_fetch():
             candidates = []  # other requests are still sent; a fetch would only join the origin's queue
         # With many balancers a limit reflects few sends and says nothing about other owners: all are asked.
-        left = MAX_OWNERS if self.pool.min_limit < SPARSE_MIN_LIMIT else owner_count + EXTRA_OWNERS_ASKED
+        remaining = MAX_OWNERS if self.pool.min_limit < SPARSE_MIN_LIMIT else owner_count + EXTRA_OWNERS_ASKED
         share = OVER_QUOTA_LIMIT_SHARE if state.over_quota else 1.0
         tried = [attempt.server for attempt in state.attempts]
         for server in [server for server in candidates if server not in tried]:
             if self._send(state, server, share, is_fetch):
                 return
             self.pool.smooth_overload(server, 1)
-            left -= self.now >= server.ejected_until
-            if not left or state.over_quota:
+            remaining -= self.now >= server.ejected_until
+            if not remaining or state.over_quota:
                 break
         self.reject_or_fail(state, AnswerReason.NO_SERVER_ADMITS)
 
@@ -119,12 +119,12 @@
         owners = self.slots.owners(slot)
         for server, _ in owners:
             refresh_warm_up(self.pool, server)
-        order = [s for s, place in owners if place <= s.active_share] or [s for s, _ in owners]
+        order = [s for s, rank in owners if rank <= s.active_share] or [s for s, _ in owners]
         count = min(self.slots.owner_count(slot), len(order))
         if count > 1:
-            width = -(-count // self.settings.balancer_count)
-            turn = (self.settings.balancer_index + int(self.slots.load.by_slot[slot]) % width) % count
-            order = order[turn:count] + order[:turn] + order[count:]
+            spread = -(-count // self.settings.balancer_count)
+            offset = (self.settings.balancer_index + int(self.slots.load.by_slot[slot]) % spread) % count
+            order = order[offset:count] + order[:offset] + order[count:]
         # Many balancers can overload a server while each is within its limit, so busy servers are asked last.
         # A limit reflects only completed sends, so servers with stalled sends are asked last, too.
         order.sort(key=lambda s: s.busy_until > self.now or s.limiter.is_stalled(self.now))
@@ -133,8 +133,8 @@
     def _origin_admits_fetch(self) -> bool:
         """Whether the origin has room for the expected share of fetches or, if it is slow, for every send."""
         limiter = self.pool.origin_limiter
-        lately_dropped = self.now - limiter.dropped_at < MEMORY_OBJECTIVES * self._objective
-        is_behind = lately_dropped or limiter.latency > ORIGIN_SLOWDOWN * limiter.min_latency
+        recently_dropped = self.now - limiter.dropped_at < RECENCY_OBJECTIVES * self._objective
+        is_behind = recently_dropped or limiter.latency > ORIGIN_SLOWDOWN * limiter.min_latency
         return limiter.admits(self.now, 1.0 if is_behind else 1 / self.pool.miss_ratio)
 
     def _fetch_from_origin(self, state: RequestState) -> None:
--- a/lupinladder/balancing/concurrency_limiter.py
+++ b/lupinladder/balancing/concurrency_limiter.py
@@ -43,9 +43,9 @@
         self.record_send(now)
         if self.max_concurrency < 1:  # kept as a mean by Little's law, as many balancers share a server
             # For the origin, the probes of all balancers start at half of its former load and halve per drop.
-            by_load = self.mean_send_interval * 2.0**self.consecutive_drops
+            load_interval = self.mean_send_interval * 2.0**self.consecutive_drops
             self.next_send_at = now + min(
-                self.latency / self.max_concurrency, self.max_send_interval, by_load
+                self.latency / self.max_concurrency, self.max_send_interval, load_interval
             )
         elif self.mean_send_interval < inf:
             self.smooth_send_interval(min(now - self.sent_at, self.max_send_interval))
@@ -61,11 +61,11 @@
             self.close_window(now)
 
     def _window_is_full(self, now: float) -> bool:
-        enough = 2 * MIN_WINDOW_SAMPLES if self.is_retesting else WINDOW_SAMPLES
+        needed_samples = 2 * MIN_WINDOW_SAMPLES if self.is_retesting else WINDOW_SAMPLES
         if self.max_concurrency < 1 and not self.is_retesting:
-            enough = 1
+            needed_samples = 1
         timed_out = now - self.window_start >= WINDOW_OBJECTIVES * self.latency_objective
-        return self.window_count >= enough or (timed_out and self.window_count >= MIN_WINDOW_SAMPLES)
+        return self.window_count >= needed_samples or (timed_out and self.window_count >= MIN_WINDOW_SAMPLES)
 
     def on_drop(self, sent_at: float, now: float) -> None:
         """Drain the server unless a later send has completed: abandoned requests fill its queue, and no
@@ -83,20 +83,20 @@
         headroom = (2 + alpha) * self.min_latency - latency
         limit = self.max_qps * headroom
         if headroom > 0:  # allowance for variation at low concurrency, less as latency rises
-            swing = 1 + (self.mean_send_interval < inf) + sqrt(limit)
-            limit += swing * min(1.0, headroom / ((1 + alpha) * self.min_latency))
+            allowance = 1 + (self.mean_send_interval < inf) + sqrt(limit)
+            limit += allowance * min(1.0, headroom / ((1 + alpha) * self.min_latency))
         return max(limit, self.min_limit)
 
-    def restore(self, known: LimitRestored, now: float) -> None:
+    def restore(self, restored: LimitRestored, now: float) -> None:
         """Start from all or part of a stored limit; unless it is all, each window may double it."""
         limit = 1.0
-        if known.min_latency > 0 and known.mode is not RestoreMode.PROBE:
-            self.min_latency = self.latency = known.min_latency
-            self.max_qps = known.max_qps
-            self.retest_at = now + RETEST_LATENCIES * known.min_latency
-            limit = self.limit_for_latency(known.min_latency)
-        self.in_slow_start = known.mode is not RestoreMode.FULL
-        self.max_concurrency = limit / 2 if known.mode is RestoreMode.PARTIAL else limit
+        if restored.min_latency > 0 and restored.mode is not RestoreMode.PROBE:
+            self.min_latency = self.latency = restored.min_latency
+            self.max_qps = restored.max_qps
+            self.retest_at = now + RETEST_LATENCIES * restored.min_latency
+            limit = self.limit_for_latency(restored.min_latency)
+        self.in_slow_start = restored.mode is not RestoreMode.FULL
+        self.max_concurrency = limit / 2 if restored.mode is RestoreMode.PARTIAL else limit
 
     def close_window(self, now: float) -> None:
         """End the window and compute the next limit."""
@@ -116,13 +116,13 @@
         self.is_retesting = False
         self.reset_window(now)
         if now >= self.retest_at and limit >= 1:
-            self._begin_retest(limit, now)
+            self._start_retest(limit, now)
 
-    def _begin_retest(self, limit: float, now: float) -> None:
+    def _start_retest(self, limit: float, now: float) -> None:
         """Cut the limit below what is in flight, drain for twice the latency, keep the cut until measured."""
         is_busy = self.inflight > MIN_WINDOW_SAMPLES
-        cut = self.inflight / 2 if is_busy else limit / 4  # half of a few sends would be one
-        self.max_concurrency = max(1.0, min(limit, cut))
+        reduced_limit = self.inflight / 2 if is_busy else limit / 4  # half of a few sends would be one
+        self.max_concurrency = max(1.0, min(limit, reduced_limit))
         self.next_send_at = self.window_start = now + 2 * self.latency
         self.retest_at = now + RETEST_LATENCIES * self.latency
         self.is_retesting = True
--- a/lupinladder/balancing/endpoint_table.py
+++ b/lupinladder/balancing/endpoint_table.py
@@ -11,7 +11,7 @@
 from lupinladder.balancing.slot_table import SlotTable
 from lupinladder.balancing.warm_weight import WarmWeight
 
-WHOLE_LISTS = (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
+COMPLETE_LISTS = (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
 ServerFactory = Callable[[Endpoint, bool, float], Server]  # arguments: endpoint, is_origin, now
 
 
@@ -38,7 +38,7 @@
     def merge(self, update: EndpointUpdate, now: float) -> None:
         """Apply a full list, a cached list or changes."""
         self._version = update.version
-        if update.kind in WHOLE_LISTS:  # servers that a complete list omits are gone
+        if update.kind in COMPLETE_LISTS:  # servers that a complete list omits are gone
             listed = {endpoint.server for endpoint in update.endpoints}
             for missing in [server for server in self.members if server not in listed]:
                 self._remove(self.members[missing])
@@ -79,7 +79,7 @@
             return
         if was_ready:
             self.warm_weight.remove(server)
-            self.slots.reweigh(server)
+            self.slots.update_weight(server)
         else:
             self.owner_count += 1
             self.slots.add(server)
--- a/lupinladder/balancing/event_dispatcher.py
+++ b/lupinladder/balancing/event_dispatcher.py
@@ -53,8 +53,8 @@
         self.actions = list[Action]()
         self.timers = TimerRegistry()
         self.poller = EndpointPoller(settings, pool.random)
-        self._polls_set = 0
-        self._is_list_whole = True  # no more parts of the current list follow
+        self._last_poll_number = 0
+        self._is_list_complete = True  # no more parts of the current list follow
         self._settling = False  # a timer for the next step is set
         self.open_requests = dict[int, RequestState]()  # by id, until the last attempt has ended
 
@@ -121,7 +121,7 @@
         state.attempts.append(Attempt(server, now, is_fetch))
         server.limiter.on_send(now)
         server.sends_since_review += 1
-        self.pool.touched[server] = None
+        self.pool.pending_review[server] = None
         server.slow_start_credit -= 1
         if is_fetch:
             self.pool.origin_limiter.on_send(now)
@@ -144,7 +144,7 @@
         elif not endpoints.is_stale(event):
             self.poller.on_success()
             endpoints.merge(event, self.now)
-            self._is_list_whole = not event.more_follows
+            self._is_list_complete = not event.more_follows
             self._settle_slots()
 
     def settle_all(self) -> None:
@@ -155,7 +155,7 @@
     def _settle_slots(self) -> None:
         """Take one step of the slot table's rebuild. A timer starts the next step, so that other events are
         handled in between."""
-        is_settled = self.slots.settle(self._is_list_whole)
+        is_settled = self.slots.settle(self._is_list_complete)
         if not is_settled and not self._settling:
             self._settling = True
             self.actions.append(self.timers.set(0.0, self._settle_on))
@@ -167,12 +167,12 @@
     def _poll_endpoints_after(self, delay: float) -> None:
         """Schedule a poll after this delay in place of any earlier one: a reload may have polled in between,
         and each failure would otherwise start one more cycle of polls."""
-        self._polls_set += 1
-        number = self._polls_set
+        self._last_poll_number += 1
+        number = self._last_poll_number
         self.actions.append(self.timers.set(delay, lambda: self._poll_endpoints(number)))
 
     def _poll_endpoints(self, number: int) -> None:
-        if number == self._polls_set:
+        if number == self._last_poll_number:
             self.actions.append(WatchEndpoints())
 
     def _on_deadline(self, state: RequestState) -> None:
--- a/lupinladder/balancing/limiter_state.py
+++ b/lupinladder/balancing/limiter_state.py
@@ -73,27 +73,27 @@
         self.latency = max(self.latency, now - sent_at)
         self.reset_window(now)
 
-    def measure_window(self, now: float, known_weight: int) -> None:
+    def measure_window(self, now: float, earlier_samples: int) -> None:
         """Average the latency and rate of a window into the earlier values.
 
-        After a retest, the few samples of its window are weighted against `known_weight` earlier ones.
+        After a retest, the few samples of its window are weighted against `earlier_samples` earlier ones.
         """
         # The rate covers the actual duration, which is 0 if the clock stands still.
         qps = self.window_count / max(now - self.window_start, 1.0)
         self.latency = max(self.window_latency_sum / self.window_count, self.latency_objective / 1e6)
         self.sample_count += self.window_count
-        self._smooth_min_latency(known_weight)
+        self._smooth_min_latency(earlier_samples)
         if qps > self.max_qps:
             self.max_qps = qps
         else:
             self.max_qps += (qps - self.max_qps) * EMA_ALPHA / MAX_QPS_ALPHA_DIVISOR
 
-    def _smooth_min_latency(self, known_weight: int) -> None:
+    def _smooth_min_latency(self, earlier_samples: int) -> None:
         rise = self.latency - self.min_latency
         if not self.min_latency:
             self.min_latency = self.latency
         elif self.is_retesting:
-            self.min_latency += rise * self.window_count / (self.window_count + known_weight)
+            self.min_latency += rise * self.window_count / (self.window_count + earlier_samples)
         elif rise > 0:
             self.min_latency += rise * EMA_ALPHA
 
--- a/lupinladder/balancing/outcome_recorder.py
+++ b/lupinladder/balancing/outcome_recorder.py
@@ -23,13 +23,13 @@
     server = attempt.server
     outcome = event.outcome
     if event.load and pool.load_fields:
-        held, rate = (event.load[index] for index in pool.load_fields)
-        server.on_load_report(held, rate / 1000, now, pool.latency_objective)
+        inflight, rate = (event.load[index] for index in pool.load_fields)
+        server.on_load_report(inflight, rate / 1000, now, pool.latency_objective)
     is_late = outcome is Outcome.TIMEOUT or event.latency > pool.latency_objective
     fetched = event.cache_result >= CacheResult.MISS and not pool.settings.cache_aside
     origin_is_slow = pool.fetch_overhead > pool.latency_objective / 2  # then it causes the drops
-    is_sign = (is_late or server.busy_until > now) and not (fetched or origin_is_slow)
-    if is_sign and _is_seldom_met(pool, server):
+    is_overloaded = (is_late or server.busy_until > now) and not (fetched or origin_is_slow)
+    if is_overloaded and _is_sparse(pool, server):
         # No window closes in time, so one sample has to do. It counts until the next send is due.
         spread = 0.5 + pool.random.random_fraction()  # balancers return at different times
         server.busy_until = now + server.limiter.max_send_interval * spread
@@ -53,18 +53,20 @@
     return _record_health(pool, server, not fetched and outcome in FAILURES, now)
 
 
-def _is_seldom_met(pool: PoolState, server: Server) -> bool:
+def _is_sparse(pool: PoolState, server: Server) -> bool:
     is_shared = pool.min_limit < SPARSE_MIN_LIMIT and not server.is_origin
     return is_shared and server.limiter.max_concurrency == inf
 
 
-def _record_fetch(pool: PoolState, event: AttemptEnded, fetched: bool, is_slow: bool, now: float) -> None:
+def _record_fetch(
+    pool: PoolState, event: AttemptEnded, fetched: bool, origin_is_slow: bool, now: float
+) -> None:
     if event.cache_result:
         pool.smooth_misses(fetched)
     if event.outcome is Outcome.OK:
         if fetched:
             pool.origin_limiter.on_complete(event.latency, now)
-    elif fetched or is_slow:  # abandoned fetches fill the origin's queue, and each miss adds one
+    elif fetched or origin_is_slow:  # abandoned fetches fill the origin's queue, and each miss adds one
         pool.origin_limiter.on_drop(now - event.latency, now)
 
 
@@ -91,5 +93,5 @@
     server.ejected_until = now + server.ejection_time
     server.failure_rate = EJECTION_FAILURE_RATE
     pool.ejected_count += 1
-    pool.touched[server] = None
+    pool.pending_review[server] = None
     return f"{server.id.hex()} ejected for {server.ejection_time:.0f} ms: attempts fail"
--- a/lupinladder/balancing/point_ring.py
+++ b/lupinladder/balancing/point_ring.py
@@ -18,14 +18,14 @@
 class RingMember:
     """A server with its points in the ring, and whether they count for the owners of slots."""
 
-    __slots__ = ("is_listed", "is_visible", "points", "replaced", "server", "weight")
+    __slots__ = ("is_listed", "is_published", "points", "replaced", "server", "weight")
 
     def __init__(self, server: Server, replaced: RingMember | None = None) -> None:
         self.server = server
         self.weight = server.weight  # the weight for which its points were counted
         self.points: list[int] = []  # its points in the ring
         self.is_listed = True  # false: its points are to be removed
-        self.is_visible = False
+        self.is_published = False
         self.replaced = replaced  # the same server with its previous weight, which counts until this one does
 
 
@@ -38,22 +38,22 @@
 
     def fill(self, members: list[RingMember], points: list[list[int]]) -> None:
         """Fill an empty ring with the points of all members, several times as fast as by single inserts."""
-        owners = dict[int, RingMember]()
+        members_by_point = dict[int, RingMember]()
         for member, own_points in zip(members, points, strict=True):
-            owners |= dict.fromkeys(own_points, member)
-        if len(owners) < sum(map(len, points)):  # two servers have the same point
+            members_by_point |= dict.fromkeys(own_points, member)
+        if len(members_by_point) < sum(map(len, points)):  # two servers have the same point
             for member, own_points in zip(members, points, strict=True):
                 self.insert(member, own_points)
             return
         for member, own_points in zip(members, points, strict=True):
             member.points = own_points
-        in_order = sorted(owners)
-        begin = 0
+        sorted_points = sorted(members_by_point)
+        start = 0
         for bucket in range(1 << BUCKET_BITS):
-            end = bisect_left(in_order, (bucket + 1) << (POINT_BITS - BUCKET_BITS), begin)
-            self._points[bucket] = in_order[begin:end]
-            self._members[bucket] = [owners[point] for point in in_order[begin:end]]
-            begin = end
+            end = bisect_left(sorted_points, (bucket + 1) << (POINT_BITS - BUCKET_BITS), start)
+            self._points[bucket] = sorted_points[start:end]
+            self._members[bucket] = [members_by_point[point] for point in sorted_points[start:end]]
+            start = end
 
     def insert(self, member: RingMember, points: list[int]) -> None:
         """Insert a member's points. Equal points are ordered by server id, whatever the insertion order."""
@@ -61,30 +61,30 @@
         for point in points:
             bucket = point >> (POINT_BITS - BUCKET_BITS)
             bucket_points = self._points[bucket]
-            place = bisect_left(bucket_points, point)
-            while place < len(bucket_points) and bucket_points[place] == point:
-                if self._members[bucket][place].server.id >= member.server.id:
+            index = bisect_left(bucket_points, point)
+            while index < len(bucket_points) and bucket_points[index] == point:
+                if self._members[bucket][index].server.id >= member.server.id:
                     break
-                place += 1
-            bucket_points.insert(place, point)
-            self._members[bucket].insert(place, member)
+                index += 1
+            bucket_points.insert(index, point)
+            self._members[bucket].insert(index, member)
 
     def remove(self, member: RingMember) -> None:
         """Remove a member's points."""
         for point in member.points:
             bucket = point >> (POINT_BITS - BUCKET_BITS)
-            place = bisect_left(self._points[bucket], point)
-            while self._members[bucket][place] is not member:  # another server has the same point
-                place += 1
-            del self._points[bucket][place]
-            del self._members[bucket][place]
+            index = bisect_left(self._points[bucket], point)
+            while self._members[bucket][index] is not member:  # another server has the same point
+                index += 1
+            del self._points[bucket][index]
+            del self._members[bucket][index]
         member.points = []
 
     def members_from(self, position: int) -> Iterator[RingMember]:
         """The member of each point after this position, in one full round of the ring."""
-        first = position >> (POINT_BITS - BUCKET_BITS)
-        place = bisect_right(self._points[first], position)
-        yield from self._members[first][place:]
-        for bucket in range(first + 1, first + (1 << BUCKET_BITS)):
+        first_bucket = position >> (POINT_BITS - BUCKET_BITS)
+        index = bisect_right(self._points[first_bucket], position)
+        yield from self._members[first_bucket][index:]
+        for bucket in range(first_bucket + 1, first_bucket + (1 << BUCKET_BITS)):
             yield from self._members[bucket & ((1 << BUCKET_BITS) - 1)]
-        yield from self._members[first][:place]
+        yield from self._members[first_bucket][:index]
--- a/lupinladder/balancing/pool_state.py
+++ b/lupinladder/balancing/pool_state.py
@@ -14,9 +14,9 @@
 WARM_RATE_ALPHA = 0.25  # smoothing factor of the send rate to warm servers
 MIN_MISS_RATIO = 1 / 16  # minimum and initial value
 # Time for which an answered key counts as cached, and a dropped fetch as overload, in latency objectives.
-MEMORY_OBJECTIVES = 16
+RECENCY_OBJECTIVES = 16
 TENANT_HALVING_OBJECTIVES = 8  # half-life of a tenant's request count, in latency objectives
-HELD_FIELD = "rif"  # load report: requests in flight at the server
+INFLIGHT_FIELD = "rif"  # load report: requests in flight at the server
 RATE_FIELD = "rate"  # load report: requests that the server completes per second
 
 
@@ -50,7 +50,7 @@
         self.reviewed_at = now
 
         self.warm_send_rate = 0.0  # own sends per ms to a mean warm server, per unit of weight
-        self.touched: dict[Server, None] = {}  # the servers that a review may change
+        self.pending_review: dict[Server, None] = {}  # the servers that a review may change
         self.ejected_count = 0
         self.failure_rate = 0.0
         self.overload_signal = 0.0  # smoothed share of sends that were spilled, dropped or late
@@ -61,19 +61,19 @@
         # Read-through mode: keys answered recently, keys answered in the period before, and the share of
         # fetches among the sends for all other keys.
         self.recent_keys = set[int]()
-        self.older_keys = set[int]()
+        self.previous_keys = set[int]()
         self.recent_keys_since = now
         self.miss_ratio = MIN_MISS_RATIO
 
         fields = settings.report_fields
-        has_both = HELD_FIELD in fields and RATE_FIELD in fields
-        self.load_fields = (fields.index(HELD_FIELD), fields.index(RATE_FIELD)) if has_both else None
+        has_both = INFLIGHT_FIELD in fields and RATE_FIELD in fields
+        self.load_fields = (fields.index(INFLIGHT_FIELD), fields.index(RATE_FIELD)) if has_both else None
 
-    def smooth_overload(self, server: Server, sign: float) -> None:
+    def smooth_overload(self, server: Server, sample: float) -> None:
         """Record one overload sample: 1 for a send that was spilled, dropped or late, else 0."""
-        self.touched[server] = None
-        server.overload_signal += (sign - server.overload_signal) * EMA_ALPHA
-        self.overload_signal += (sign - self.overload_signal) * EMA_ALPHA / 10
+        self.pending_review[server] = None
+        server.overload_signal += (sample - server.overload_signal) * EMA_ALPHA
+        self.overload_signal += (sample - self.overload_signal) * EMA_ALPHA / 10
 
     def smooth_rejections(self, server: Server, rejected: bool) -> None:
         """Record whether an attempt was rejected."""
@@ -113,28 +113,28 @@
 
     def has_recent_key(self, key: int) -> bool:
         """Whether a key was recently answered, and so counts as cached."""
-        return key in self.recent_keys or key in self.older_keys
+        return key in self.recent_keys or key in self.previous_keys
 
-    def age(self, now: float) -> None:
+    def close_review_interval(self, now: float) -> None:
         """Close the interval since the last review: update mean rates, and let counts and keys expire."""
-        span = max(now - self.reviewed_at, 1.0)
+        elapsed = max(now - self.reviewed_at, 1.0)
         self.reviewed_at = now
-        self._smooth_warm_send_rate(span)
-        for server in self.touched:
+        self._smooth_warm_send_rate(elapsed)
+        for server in self.pending_review:
             server.sends_since_review = 0
         self.slots.load.decay(self.endpoints.owner_count)
-        if now - self.recent_keys_since > MEMORY_OBJECTIVES * self.latency_objective:
-            self.older_keys = self.recent_keys
+        if now - self.recent_keys_since > RECENCY_OBJECTIVES * self.latency_objective:
+            self.previous_keys = self.recent_keys
             self.recent_keys = set()
             self.recent_keys_since = now
-        left = 0.5 ** (span / (TENANT_HALVING_OBJECTIVES * self.latency_objective))
-        self.tenant_requests = [count * left for count in self.tenant_requests]
+        decay_factor = 0.5 ** (elapsed / (TENANT_HALVING_OBJECTIVES * self.latency_objective))
+        self.tenant_requests = [count * decay_factor for count in self.tenant_requests]
 
-    def _smooth_warm_send_rate(self, span: float) -> None:
+    def _smooth_warm_send_rate(self, elapsed: float) -> None:
         warm_weight = self.endpoints.warm_weight
         if not warm_weight.total:
             return
-        sends = sum(server.sends_since_review for server in self.touched if server in warm_weight)
-        rate = sends / span / warm_weight.total
+        sends = sum(server.sends_since_review for server in self.pending_review if server in warm_weight)
+        rate = sends / elapsed / warm_weight.total
         alpha = WARM_RATE_ALPHA if self.warm_send_rate else 1.0
         self.warm_send_rate += (rate - self.warm_send_rate) * alpha
--- a/lupinladder/balancing/request_state.py
+++ b/lupinladder/balancing/request_state.py
@@ -22,8 +22,8 @@
         safety = self.request_class.retry_safety
         if safety is RetrySafety.IDEMPOTENT or not self.possibly_executed():
             return True
-        everywhere = self.request_class.deduplication_scope is DeduplicationScope.ALL
-        return safety is RetrySafety.IDEMPOTENCY_KEY and everywhere
+        is_global = self.request_class.deduplication_scope is DeduplicationScope.ALL
+        return safety is RetrySafety.IDEMPOTENCY_KEY and is_global
 
     def may_attempt(self, server: Server, now: float, settings: Settings) -> bool:
         """Whether an attempt at this server is within the limits and cannot cause an effect twice."""
@@ -37,10 +37,10 @@
         executed = self.possibly_executed()
         if not executed or safety is RetrySafety.NON_IDEMPOTENT:
             return not executed
-        is_remembered = now - executed[0].sent_at < self.request_class.deduplication_window
-        return is_remembered and self._drops_repeats_of(executed, server)
+        in_window = now - executed[0].sent_at < self.request_class.deduplication_window
+        return in_window and self._deduplicates(executed, server)
 
-    def _drops_repeats_of(self, executed: list[Attempt], server: Server) -> bool:
+    def _deduplicates(self, executed: list[Attempt], server: Server) -> bool:
         scope = self.request_class.deduplication_scope
         if scope is DeduplicationScope.ALL:
             return True
--- a/lupinladder/balancing/server.py
+++ b/lupinladder/balancing/server.py
@@ -12,9 +12,9 @@
 class Server(ServerState):
     """A listed server, as this balancer knows it."""
 
-    def on_load_report(self, held: float, rate: float, now: float, latency_objective: float) -> None:
-        """Apply the server's load report: by Little's law it needs held / rate ms for what it holds."""
-        wait = (held - 1) / rate if held > 1 and rate > 0 else 0.0
+    def on_load_report(self, inflight: float, rate: float, now: float, latency_objective: float) -> None:
+        """Apply the server's load report: by Little's law it needs inflight / rate ms for its requests."""
+        wait = (inflight - 1) / rate if inflight > 1 and rate > 0 else 0.0
         self.busy_until = now + min(wait, WINDOW_OBJECTIVES * latency_objective) - latency_objective / 2
 
     def is_rejecting(self) -> bool:
--- a/lupinladder/balancing/server_state.py
+++ b/lupinladder/balancing/server_state.py
@@ -41,10 +41,10 @@
         self.ejection_time = 0.0  # duration of the last ejection
         self.busy_until = 0.0  # when its queue is short enough for further sends
         self.sends_since_review = 0
-        self.warmth_set_at = now  # time of the last update of its warm-up
+        self.warm_up_updated_at = now  # time of the last update of its warm-up
 
-    def accrue_credit(self, now: float, most: float) -> None:
-        """Add the slow-start credit earned since the last update, up to `most` sends."""
+    def accrue_credit(self, now: float, max_credit: float) -> None:
+        """Add the slow-start credit earned since the last update, up to `max_credit` sends."""
         earned = (now - self.credit_updated_at) * self.credit_rate
-        self.slow_start_credit = min(most, self.slow_start_credit + earned)
+        self.slow_start_credit = min(max_credit, self.slow_start_credit + earned)
         self.credit_updated_at = now
--- a/lupinladder/balancing/settings_reader.py
+++ b/lupinladder/balancing/settings_reader.py
@@ -22,7 +22,7 @@
 
     Raises SettingsError if a required value is missing, or if a value has a wrong type or is out of range.
     """
-    value = _find(tree, path)
+    value = _look_up(tree, path)
     if value is _MISSING:
         if default is _MISSING:
             message = f"settings: {path} is missing"
@@ -47,7 +47,7 @@
         message = f"settings: not JSON: {error}"
         raise SettingsError(message) from None
     classes = _read_classes(tree)
-    polled = _read_choice(tree, "membership-mode", ("ask", "push")) == "ask"
+    is_polled = _read_choice(tree, "membership-mode", ("ask", "push")) == "ask"
     cache_aside = _read_choice(tree, "family-info.mode", ("through", "aside"), "through") == "aside"
     balancer_count = _read_count(tree, "n-instances")
     max_attempts = _read_count(tree, "ceilings.max-attempts")
@@ -56,7 +56,7 @@
         balancer_count=balancer_count,
         balancer_index=read_value(tree, "me", int),
         zone=read_value(tree, "zone", int, 0),
-        poll_endpoints=polled,
+        poll_endpoints=is_polled,
         poll_interval=read_value(tree, "obligations.ask-within-ms", float, 0.0),
         cache_aside=cache_aside,
         origin_kind=read_value(tree, "family-info.origin-kind", int, -1),
@@ -77,7 +77,7 @@
     )
 
 
-def _find(tree: Any, path: str) -> Any:
+def _look_up(tree: Any, path: str) -> Any:
     node = tree
     for key in path.split("."):
         if not isinstance(node, dict) or key not in node:
@@ -111,14 +111,14 @@
 
 
 def _read_classes(tree: Any) -> list[RequestClass]:
-    classes = [_read_class(one, number) for number, one in enumerate(read_value(tree, "classes", list))]
+    classes = [_read_class(entry, index) for index, entry in enumerate(read_value(tree, "classes", list))]
     if not classes:
         message = "settings: classes is empty"
         raise SettingsError(message)
     return classes
 
 
-def _read_class(tree: Any, number: int) -> RequestClass:
+def _read_class(tree: Any, index: int) -> RequestClass:
     try:
         latency_objective = read_value(tree, "goal-time-ms", float)
         deadline = read_value(tree, "deadline-ms", float)
@@ -136,5 +136,5 @@
             stream=read_value(tree, "stream", bool, False),
         )
     except ValueError as error:
-        message = f"{error} (class {number})"
+        message = f"{error} (class {index})"
         raise SettingsError(message) from None
--- a/lupinladder/balancing/slot_table.py
+++ b/lupinladder/balancing/slot_table.py
@@ -11,7 +11,7 @@
 from lupinladder.balancing.weight_scale import WeightScale
 
 MAX_OWNERS = 8  # maximum number of owners considered for one slot
-MAX_POINTS_LOOKED_AT = 8 * MAX_OWNERS  # maximum points considered for the owners of one slot
+MAX_POINTS_VISITED = 8 * MAX_OWNERS  # maximum points considered for the owners of one slot
 # Points of a server in the ring: enough that many other servers share the slots of a removed one.
 POINTS_PER_SERVER = 32
 MAX_POINTS = 16 * POINTS_PER_SERVER  # maximum points of one server, whatever its weight
@@ -36,11 +36,11 @@
         self._members: dict[ServerId, RingMember] = {}  # the listed servers
         self._scale = WeightScale()
         self._unit = 1.0
-        self._visible_count = 0
-        self._waiting: list[RingMember] = []  # to be inserted into the ring
+        self._published_count = 0
+        self._pending_insert: list[RingMember] = []  # to be inserted into the ring
         self._staged: list[RingMember] = []  # in the ring, to become owners once the list is complete
-        self._departed: list[RingMember] = []  # to be removed from the ring
-        self._recounted: list[ServerId] = []  # whose points are to be counted for a new unit of weight
+        self._pending_removal: list[RingMember] = []  # to be removed from the ring
+        self._pending_recount: list[ServerId] = []  # whose points are to be counted for a new unit of weight
         self._owners: dict[int, list[tuple[Server, float]]] = {}  # by slot, computed on demand
         self.load = SlotLoad()
 
@@ -55,67 +55,67 @@
         if member is not None and member.server is server:
             del self._members[server.id]
             self._scale.remove(member.weight)
-            self._hide(member)
+            self._delist(member)
 
-    def reweigh(self, server: Server) -> None:
+    def update_weight(self, server: Server) -> None:
         """Apply the new weight of a listed server, which keeps its slots until the rebuild is complete."""
         member = self._members[server.id]
         self._scale.remove(member.weight)
         self._scale.add(server.weight)
         self._restage(member)
 
-    def settle(self, is_list_whole: bool = True) -> bool:
+    def settle(self, is_list_complete: bool = True) -> bool:
         """Take one step of the rebuild for the listed servers; true if no step remains.
 
-        `is_list_whole`: no more parts of the current list follow.
+        `is_list_complete`: no more parts of the current list follow.
         """
-        left = POINTS_PER_STEP
-        if is_list_whole and self._scale.unit != self._unit:
+        remaining = POINTS_PER_STEP
+        if is_list_complete and self._scale.unit != self._unit:
             self._unit = self._scale.unit
-            self._recounted = list(self._members)
-        left = self._recount(left)
-        left = self._insert_waiting(left)
+            self._pending_recount = list(self._members)
+        remaining = self._recount(remaining)
+        remaining = self._insert_pending(remaining)
         # The first few owners of a new list would be overloaded, so each step counts until most are there.
-        misses_most = 2 * self._visible_count < len(self._members)
-        if misses_most or (is_list_whole and not self._recounted and not self._waiting):
+        mostly_missing = 2 * self._published_count < len(self._members)
+        if mostly_missing or (is_list_complete and not self._pending_recount and not self._pending_insert):
             self._publish()
-        self._remove_departed(left)
-        return not (self._recounted or self._waiting or self._departed)
+        self._remove_pending(remaining)
+        return not (self._pending_recount or self._pending_insert or self._pending_removal)
 
-    def _recount(self, left: int) -> int:
-        while self._recounted and left > 0:
-            left -= 1
-            member = self._members.get(self._recounted.pop())
+    def _recount(self, remaining: int) -> int:
+        while self._pending_recount and remaining > 0:
+            remaining -= 1
+            member = self._members.get(self._pending_recount.pop())
             if member is not None and member.points and self._point_count(member) != len(member.points):
                 self._restage(member)
-        return left
+        return remaining
 
-    def _insert_waiting(self, left: int) -> int:
-        if not (self._visible_count or self._staged or self._departed):
-            return self._fill(left)  # the ring is empty, and no request depends on it
-        while self._waiting and left > 0:
-            member = self._waiting.pop()
+    def _insert_pending(self, remaining: int) -> int:
+        if not (self._published_count or self._staged or self._pending_removal):
+            return self._fill(remaining)  # the ring is empty, and no request depends on it
+        while self._pending_insert and remaining > 0:
+            member = self._pending_insert.pop()
             if member.is_listed:
                 points = self._hash_series(member.server.id_hash, self._point_count(member))
                 self._ring.insert(member, points)
                 self._staged.append(member)
-                left -= len(points)
-        return left
+                remaining -= len(points)
+        return remaining
 
-    def _fill(self, left: int) -> int:
+    def _fill(self, remaining: int) -> int:
         """Insert all waiting members into an empty ring at once."""
-        members = [member for member in self._waiting if member.is_listed]
-        self._waiting = []
+        members = [member for member in self._pending_insert if member.is_listed]
+        self._pending_insert = []
         first_and_count = ((m.server.id_hash, self._point_count(m)) for m in members)
         points = [self._hash_series(first, count) for first, count in first_and_count]
         self._ring.fill(members, points)
         self._staged = members
-        return left
+        return remaining
 
-    def _remove_departed(self, left: int) -> None:
-        while self._departed and left > 0:
-            member = self._departed.pop()
-            left -= len(member.points)
+    def _remove_pending(self, remaining: int) -> None:
+        while self._pending_removal and remaining > 0:
+            member = self._pending_removal.pop()
+            remaining -= len(member.points)
             self._ring.remove(member)
 
     def _publish(self) -> None:
@@ -125,10 +125,10 @@
         for member in self._staged:
             if member.is_listed:
                 if member.replaced is not None:
-                    self._hide(member.replaced)
+                    self._delist(member.replaced)
                     member.replaced = None
-                member.is_visible = True
-                self._visible_count += 1
+                member.is_published = True
+                self._published_count += 1
         self._staged = []
         self._owners = {}
 
@@ -138,50 +138,50 @@
 
     def _stage(self, member: RingMember) -> None:
         self._members[member.server.id] = member
-        self._waiting.append(member)
+        self._pending_insert.append(member)
 
     def _restage(self, member: RingMember) -> None:
         """Count a server's points again; its present points count until the new ones do."""
-        if member.is_visible:
+        if member.is_published:
             self._stage(RingMember(member.server, member))
             return
         self._stage(RingMember(member.server, member.replaced))
         member.replaced = None
-        self._hide(member)
+        self._delist(member)
 
-    def _hide(self, member: RingMember) -> None:
+    def _delist(self, member: RingMember) -> None:
         member.is_listed = False
-        if member.is_visible:
-            member.is_visible = False
-            self._visible_count -= 1
+        if member.is_published:
+            member.is_published = False
+            self._published_count -= 1
             self._owners = {}
         if member.points:
-            self._departed.append(member)
+            self._pending_removal.append(member)
         if member.replaced is not None:
-            self._hide(member.replaced)
+            self._delist(member.replaced)
             member.replaced = None
 
     def owners(self, slot: int) -> list[tuple[Server, float]]:
         """The slot's owners in order, each with the slot's rank (0 to 1) among those of the server."""
-        found = self._owners.get(slot)
-        if found is None:
-            servers = self._servers_behind(splitmix64(slot))
-            found = [(s, splitmix64(s.id_hash ^ slot) / HASH_MASK) for s in servers]
-            self._owners[slot] = found
-        return found
-
-    def _servers_behind(self, position: int) -> list[Server]:
+        slot_owners = self._owners.get(slot)
+        if slot_owners is None:
+            servers = self._servers_after(splitmix64(slot))
+            slot_owners = [(s, splitmix64(s.id_hash ^ slot) / HASH_MASK) for s in servers]
+            self._owners[slot] = slot_owners
+        return slot_owners
+
+    def _servers_after(self, position: int) -> list[Server]:
         """The first servers with points after this position."""
-        found = dict[Server, None]()
-        looked_at = 0
+        servers = dict[Server, None]()
+        visited_count = 0
         for member in self._ring.members_from(position):
-            if not member.is_visible:
+            if not member.is_published:
                 continue
-            looked_at += 1
-            found[member.server] = None
-            if len(found) == MAX_OWNERS or looked_at == MAX_POINTS_LOOKED_AT:
+            visited_count += 1
+            servers[member.server] = None
+            if len(servers) == MAX_OWNERS or visited_count == MAX_POINTS_VISITED:
                 break
-        return list(found)
+        return list(servers)
 
     def owner_count(self, slot: int) -> int:
         """Count a send; returns how many owners share the slot, as a hot key cannot be split over slots."""
--- a/lupinladder/balancing/warm_weight.py
+++ b/lupinladder/balancing/warm_weight.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class _Warming:
+class _WarmingServer:
     """A server that warms up, and the time in ms at which it is warm."""
 
     server: Server
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         self.total = 0.0
         self._counted: dict[Server, float] = {}  # the weight of each warm server
-        self._warming: list[_Warming] = []  # by time; it may contain removed servers
-        self._listed: dict[Server, None] = {}  # the servers in it that were not removed
+        self._warming: list[_WarmingServer] = []  # by time; it may contain removed servers
+        self._warming_servers: dict[Server, None] = {}  # the servers in it that were not removed
 
     def __contains__(self, server: Server) -> bool:
         """Whether a server is counted as warm."""
@@ -34,26 +34,26 @@
         if not server.warming_up:
             self._count(server)
             return
-        self._listed[server] = None
-        insort(self._warming, _Warming(server, warm_at), key=lambda one: one.warm_at)
+        self._warming_servers[server] = None
+        insort(self._warming, _WarmingServer(server, warm_at), key=lambda entry: entry.warm_at)
 
     def remove(self, server: Server) -> None:
         """Stop counting a server; one that was not added is ignored."""
-        self._listed.pop(server, None)
+        self._warming_servers.pop(server, None)
         self.total -= self._counted.pop(server, 0.0)
         if not self._counted:
             self.total = 0.0  # removes the rounding error of the sum
 
     def advance(self, now: float) -> None:
         """Count the servers that are warm by now."""
-        due = 0
-        while due < len(self._warming) and self._warming[due].warm_at <= now:
-            server = self._warming[due].server
-            due += 1
-            if server in self._listed:
-                del self._listed[server]
+        due_count = 0
+        while due_count < len(self._warming) and self._warming[due_count].warm_at <= now:
+            server = self._warming[due_count].server
+            due_count += 1
+            if server in self._warming_servers:
+                del self._warming_servers[server]
                 self._count(server)
-        del self._warming[:due]
+        del self._warming[:due_count]
 
     def _count(self, server: Server) -> None:
         if server not in self._counted:
--- a/lupinladder/balancing/weight_scale.py
+++ b/lupinladder/balancing/weight_scale.py
@@ -9,7 +9,7 @@
 WEIGHT_PRECISION = 1 << 32
 # Up to this number of servers the unit is the mean weight itself. Each change then moves some points of all
 # other servers, which costs little for so few.
-SERVERS_BY_MEAN = 256
+MAX_SERVERS_FOR_MEAN_UNIT = 256
 
 
 class WeightScale:
@@ -26,12 +26,12 @@
 
     def add(self, weight: float) -> None:
         """Add a weight to the sum."""
-        self._total += _as_parts(weight)
+        self._total += _to_fixed_point(weight)
         self._count += 1
 
     def remove(self, weight: float) -> None:
         """Remove a weight that was added to the sum."""
-        self._total -= _as_parts(weight)
+        self._total -= _to_fixed_point(weight)
         self._count -= 1
 
     @property
@@ -40,8 +40,8 @@
         if not self._total:
             return 1.0
         mean = self._total / self._count / WEIGHT_PRECISION
-        return mean if self._count <= SERVERS_BY_MEAN else 2.0 ** round(log2(mean))
+        return mean if self._count <= MAX_SERVERS_FOR_MEAN_UNIT else 2.0 ** round(log2(mean))
 
 
-def _as_parts(weight: float) -> int:
+def _to_fixed_point(weight: float) -> int:
     return max(1, round(weight * WEIGHT_PRECISION))
--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -20,14 +20,14 @@
 from tests.support.balancer_harness import Proxy, entries, sid
 
 
-def proxy_of(n: int = 12, **config: object) -> Proxy:
+def create_proxy(n: int = 12, **config: object) -> Proxy:
     conf = balancer_harness.settings(**config)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(n)))
     return proxy
 
 
-def ask(proxy: Proxy, key: int, **more: object) -> int:
+def send_request(proxy: Proxy, key: int, **more: object) -> int:
     """Send an idempotent request; returns its id."""
     n = len(proxy.seen) + 1
     proxy.feed(RequestReceived(n, 0, 1500, key, **more))  # type: ignore[arg-type]
@@ -42,7 +42,7 @@
     proxy: Proxy, key: int, latency: float = 50, cache_result: CacheResult = CacheResult.HIT
 ) -> bytes | None:
     """Send a request and answer it; returns its first server, or None if it was rejected."""
-    n = ask(proxy, key)
+    n = send_request(proxy, key)
     if not proxy.seen[n].tries:
         return None
     proxy.now += latency
@@ -50,55 +50,55 @@
     return server_of(proxy, n)
 
 
-def warm(proxy: Proxy, keys: int = 200) -> None:
+def warm_up(proxy: Proxy, keys: int = 200) -> None:
     for key in range(1, keys + 1):
         serve(proxy, key)
 
 
-def test_a_key_stays_with_its_server_and_balancers_agree() -> None:
-    one, other = proxy_of(), proxy_of(balancer_index=2)
+def test_a_key_keeps_its_server_and_balancers_agree() -> None:
+    first, second = create_proxy(), create_proxy(balancer_index=2)
     for key in range(1, 50):
-        assert serve(one, key) == serve(one, key) == serve(other, key)
+        assert serve(first, key) == serve(first, key) == serve(second, key)
 
 
 def test_a_server_that_fails_fast_is_ejected_and_probed_and_recovers() -> None:
-    proxy = proxy_of()
-    warm(proxy)
-    bad = serve(proxy, 7)
+    proxy = create_proxy()
+    warm_up(proxy)
+    failing = serve(proxy, 7)
     for _ in range(12):
-        n = ask(proxy, 7)
+        n = send_request(proxy, 7)
         for attempt in range(4):
             if len(proxy.seen[n].tries) <= attempt:
                 break
-            outcome = Outcome.ERROR if server_of(proxy, n, attempt) == bad else Outcome.OK
+            outcome = Outcome.ERROR if server_of(proxy, n, attempt) == failing else Outcome.OK
             proxy.now += 3
             proxy.end(n, attempt, outcome)
             if outcome is Outcome.OK:
                 break
-    assert proxy.notes and bad is not None and bad.hex() in proxy.notes[0]
-    assert serve(proxy, 7) not in (bad, None)  # its keys go to the next owner
+    assert proxy.notes and failing is not None and failing.hex() in proxy.notes[0]
+    assert serve(proxy, 7) not in (failing, None)  # its keys go to the next owner
     proxy.advance(proxy.now + 1500)
-    n = ask(proxy, 7)
-    assert server_of(proxy, n) == bad  # one probe
-    assert server_of(proxy, ask(proxy, 7)) != bad  # and no other at the same time
+    n = send_request(proxy, 7)
+    assert server_of(proxy, n) == failing  # one probe
+    assert server_of(proxy, send_request(proxy, 7)) != failing  # and no other at the same time
     proxy.end(n, 0, Outcome.OK)
-    assert serve(proxy, 7) == bad
+    assert serve(proxy, 7) == failing
 
 
-def test_a_server_that_rejects_some_keeps_its_limit_one_that_rejects_all_is_drained() -> None:
-    proxy = proxy_of()
-    warm(proxy)
+def test_a_server_that_rejects_some_requests_keeps_its_limit_and_one_that_rejects_all_is_drained() -> None:
+    proxy = create_proxy()
+    warm_up(proxy)
     owner = serve(proxy, 7)
     assert owner is not None
     limiter = proxy.balancer.members[owner].limiter
 
     def reject(every: int) -> None:
-        came = 0
+        received = 0
         for key in range(1, 1000):
-            n = ask(proxy, key)
+            n = send_request(proxy, key)
             proxy.now += 3
-            came += server_of(proxy, n) == owner
-            if server_of(proxy, n) == owner and came % every == 0:
+            received += server_of(proxy, n) == owner
+            if server_of(proxy, n) == owner and received % every == 0:
                 proxy.end(n, 0, Outcome.REJECTED)
                 assert server_of(proxy, n, 1) != owner  # it was not executed, so the next owner gets it
             proxy.end(n, len(proxy.seen[n].tries) - 1, Outcome.OK, 50)
@@ -110,11 +110,11 @@
     assert limiter.max_concurrency <= 1
 
 
-def test_ejections_never_take_most_of_the_pool() -> None:
-    proxy = proxy_of()
-    warm(proxy)
+def test_at_most_a_third_of_the_pool_is_ejected() -> None:
+    proxy = create_proxy()
+    warm_up(proxy)
     for key in range(1, 400):
-        n = ask(proxy, key)
+        n = send_request(proxy, key)
         while None in proxy.seen[n].outcomes:
             proxy.now += 3
             proxy.end(n, len(proxy.seen[n].tries) - 1, Outcome.ERROR)
@@ -122,18 +122,18 @@
     assert serve(proxy, 1) is not None
 
 
-def test_a_hung_server_gets_no_more_than_its_limit_and_a_pause() -> None:
-    proxy = proxy_of(balancer_count=20)
-    warm(proxy, 400)
+def test_a_hung_server_gets_no_more_than_its_limit_and_then_no_requests() -> None:
+    proxy = create_proxy(balancer_count=20)
+    warm_up(proxy, 400)
     hung = serve(proxy, 7)
-    out = 0
+    outstanding = 0
     for _ in range(60):
-        n = ask(proxy, 7)
+        n = send_request(proxy, 7)
         if proxy.seen[n].tries and server_of(proxy, n) == hung:
-            out += 1
+            outstanding += 1
         elif proxy.seen[n].tries:
             proxy.end(n, 0, Outcome.OK, 50)
-    assert out < 40  # the rest went to the next owner
+    assert outstanding < 40  # the rest went to the next owner
     proxy.advance(proxy.now + 1500)  # all attempts time out
     before = len(proxy.sends)
     for _ in range(10):
@@ -141,22 +141,22 @@
     assert hung not in [server for _, server in proxy.sends[before:]]
 
 
-def test_a_slow_origin_closes_no_server_and_rejects_unknown_keys() -> None:
+def test_a_slow_origin_ejects_no_server_and_unknown_keys_are_rejected() -> None:
     # In read-through mode fetches are slow and fail on all servers while hits stay fast.
-    proxy = proxy_of()
-    warm(proxy)
+    proxy = create_proxy()
+    warm_up(proxy)
     for key in range(1000, 1060):
-        n = ask(proxy, key)
+        n = send_request(proxy, key)
         if proxy.seen[n].tries:
             proxy.now += 20
             proxy.feed(AttemptEnded(n, 0, Outcome.OK, 900.0, True, CacheResult.MISS))
     for key in range(2000, 2010):
-        n = ask(proxy, key)
+        n = send_request(proxy, key)
         if proxy.seen[n].tries:
             proxy.now += 900
             proxy.feed(AttemptEnded(n, 0, Outcome.ERROR, 900.0, False, CacheResult.MISS))
     assert len(proxy.seen[n].tries) <= 1  # a failed fetch is not retried on another server
-    rejected = sum(not proxy.seen[ask(proxy, key)].tries for key in range(3000, 3040))
+    rejected = sum(not proxy.seen[send_request(proxy, key)].tries for key in range(3000, 3040))
     assert rejected > 30  # a further fetch would only join the queue
     assert all(serve(proxy, key) is not None for key in range(1, 100))  # hits are still sent
     assert not any("ejected for" in note for note in proxy.notes)
@@ -167,7 +167,7 @@
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     listed = [*entries(6), Endpoint(sid(90), server_kind=1)]
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
-    requests = [ask(proxy, 5) for _ in range(3)]
+    requests = [send_request(proxy, 5) for _ in range(3)]
     cache = server_of(proxy, requests[0])
     assert cache != sid(90)
     for n in requests:
@@ -177,13 +177,13 @@
     assert server_of(proxy, requests[1], 1) == cache and server_of(proxy, requests[2], 1) == cache
 
 
-def test_cache_aside_who_waits_is_served_though_the_origin_was_listed_anew_during_the_fetch() -> None:
+def test_cache_aside_waiting_requests_are_served_if_the_origin_is_listed_again_during_the_fetch() -> None:
     for change in ("started again", "removed and listed again"):
         conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
         proxy = Proxy(Balancer(conf, 1, 0.0), conf)
         listed = [*entries(6), Endpoint(sid(90), server_kind=1)]
         proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
-        requests = [ask(proxy, 5) for _ in range(2)]
+        requests = [send_request(proxy, 5) for _ in range(2)]
         for n in requests:
             proxy.end(n, 0, Outcome.MISS)
         started_at = 0.0
@@ -196,22 +196,22 @@
         proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 3, again))
         proxy.end(requests[0], 1, Outcome.OK, 80)
         assert len(proxy.seen[requests[1]].tries) == 2, change
-        later = ask(proxy, 5)
+        later = send_request(proxy, 5)
         proxy.end(later, 0, Outcome.MISS)
         assert server_of(proxy, later, 1) == sid(90), change
 
 
-def test_cache_aside_writes_go_to_the_origin_and_no_slot_is_the_origins() -> None:
+def test_cache_aside_writes_go_to_the_origin_and_the_origin_owns_no_slot() -> None:
     conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, [*entries(6), Endpoint(sid(90), server_kind=1)]))
-    assert server_of(proxy, ask(proxy, 5, is_write=True)) == sid(90)
-    assert all(server_of(proxy, ask(proxy, key)) != sid(90) for key in range(1, 60))
+    assert server_of(proxy, send_request(proxy, 5, is_write=True)) == sid(90)
+    assert all(server_of(proxy, send_request(proxy, key)) != sid(90) for key in range(1, 60))
 
 
-def test_cache_aside_a_hop_gets_less_than_the_objective_as_a_miss_takes_two() -> None:
+def test_cache_aside_a_hop_gets_less_than_the_objective_as_a_miss_takes_two_hops() -> None:
     def limit(**config: object) -> float:
-        proxy = proxy_of(1, **config)
+        proxy = create_proxy(1, **config)
         for key in range(1, 18):
             serve(proxy, key, 200)
         [server] = proxy.balancer.members.values()
@@ -220,15 +220,15 @@
     assert limit(cache_aside=True, origin_kind=1) < limit()
 
 
-def test_an_empty_pool_and_one_that_only_drains_reject_at_once() -> None:
-    proxy = proxy_of(0)
-    assert not proxy.seen[ask(proxy, 1)].tries and proxy.seen[1].answered
-    draining = proxy_of(0)
+def test_an_empty_pool_and_a_draining_pool_reject_at_once() -> None:
+    proxy = create_proxy(0)
+    assert not proxy.seen[send_request(proxy, 1)].tries and proxy.seen[1].answered
+    draining = create_proxy(0)
     draining.feed(EndpointUpdate(EndpointUpdateKind.FULL, 2, entries(3, state=EndpointState.DRAINING)))
-    assert not draining.seen[ask(draining, 1)].tries and draining.seen[1].answered
+    assert not draining.seen[send_request(draining, 1)].tries and draining.seen[1].answered
 
 
-def test_each_rejection_and_failure_names_its_reason() -> None:
+def test_each_rejection_and_failure_has_its_reason() -> None:
     conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     reasons = list[AnswerReason]()
@@ -239,12 +239,12 @@
         carry_out(actions)
 
     proxy.carry_out = note_reasons  # type: ignore[method-assign]
-    ask(proxy, 5)  # the list is empty
+    send_request(proxy, 5)  # the list is empty
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(6)))
-    proxy.end(ask(proxy, 5), 0, Outcome.MISS)  # there is no origin
+    proxy.end(send_request(proxy, 5), 0, Outcome.MISS)  # there is no origin
     proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(sid(90), server_kind=1)]))
-    proxy.end(ask(proxy, 5, is_write=True), 0, Outcome.ERROR)
-    requests = [ask(proxy, 6) for _ in range(2)]
+    proxy.end(send_request(proxy, 5, is_write=True), 0, Outcome.ERROR)
+    requests = [send_request(proxy, 6) for _ in range(2)]
     for n in requests:
         proxy.end(n, 0, Outcome.MISS)
     proxy.advance(proxy.now + 5000)  # the fetch and the request that waits for it time out
@@ -257,28 +257,28 @@
     ]
 
 
-def test_a_stale_delta_does_not_bring_back_what_has_gone() -> None:
-    proxy = proxy_of(3)
+def test_a_stale_delta_does_not_add_a_removed_server() -> None:
+    proxy = create_proxy(3)
     proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 5, [Endpoint(sid(0), EndpointState.GONE)]))
     proxy.balancer.handle(EndpointUpdate(EndpointUpdateKind.DELTA, 4, [Endpoint(sid(0))]), proxy.now)
     for key in range(1, 60):
         assert serve(proxy, key) != sid(0)
 
 
-def test_the_list_is_asked_again_with_a_growing_wait_after_failures() -> None:
+def test_the_list_is_polled_with_a_growing_delay_after_failures() -> None:
     conf = balancer_harness.settings(poll_endpoints=True, poll_interval=10000.0)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
-    waits = []
+    poll_delays = []
     for _ in range(4):
         [(at, _token)] = proxy.timers
-        waits.append(at - proxy.now)
+        poll_delays.append(at - proxy.now)
         proxy.advance(at)
         proxy.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
-    assert proxy.follows == 4 and 0 < waits[0] < 2500
-    assert waits[3] > waits[1] and max(waits) < 10000
+    assert proxy.follows == 4 and 0 < poll_delays[0] < 2500
+    assert poll_delays[3] > poll_delays[1] and max(poll_delays) < 10000
 
 
-def test_reloads_while_discovery_fails_add_no_calls() -> None:
+def test_reloads_while_discovery_fails_add_no_polls() -> None:
     conf = balancer_harness.settings(poll_endpoints=True, poll_interval=10000.0)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     for _ in range(5):  # each reload opens a watch at once, which fails like the previous one
@@ -288,51 +288,51 @@
     assert proxy.follows == 1
 
 
-def test_a_lost_list_is_asked_for_in_time_whatever_the_settings_leave() -> None:
-    def waits(failures: int, **told: object) -> list[float]:
-        found = []
+def test_a_lost_list_is_polled_in_time_with_any_settings() -> None:
+    def poll_delays(failures: int, **overrides: object) -> list[float]:
+        delays = []
         for seed in range(40):
-            conf = balancer_harness.settings(**told)
+            conf = balancer_harness.settings(**overrides)
             proxy = Proxy(Balancer(conf, seed, 0.0), conf)
             proxy.timers.clear()
             for _ in range(failures):
                 proxy.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
                 [(at, _token)] = proxy.timers
-                found.append(at - proxy.now)
+                delays.append(at - proxy.now)
                 proxy.advance(at)
-        return found
+        return delays
 
     # A watch is known to be silent after 3.2 s and a call may take 2 s: all of it must take less than 6 s.
-    for within in (500.0, 10000.0, 60000.0, 0.0):
-        assert min(waits(1, poll_endpoints=True, poll_interval=within)) > 0, within
-        assert max(waits(1, poll_endpoints=True, poll_interval=within)) <= 800, within
+    for interval in (500.0, 10000.0, 60000.0, 0.0):
+        assert min(poll_delays(1, poll_endpoints=True, poll_interval=interval)) > 0, interval
+        assert max(poll_delays(1, poll_endpoints=True, poll_interval=interval)) <= 800, interval
     # Pushed: a change counts as known from its push on, whether or not a watch is open.
-    assert max(waits(6, poll_endpoints=False, drain_grace_period=400.0, poll_interval=10000.0)) <= 200
+    assert max(poll_delays(6, poll_endpoints=False, drain_grace_period=400.0, poll_interval=10000.0)) <= 200
 
 
 def test_a_tenant_over_its_quota_is_rejected_first() -> None:
     conf = balancer_harness.settings(tenant_quotas=[40.0, 40.0], over_quota_weight=0.2)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(12)))
-    warm(proxy)
-    hot = serve(proxy, 7)
-    limit = proxy.balancer.members[hot or b""].limiter
+    warm_up(proxy)
+    owner = serve(proxy, 7)
+    limit = proxy.balancer.members[owner or b""].limiter
     limit.max_concurrency, limit.next_send_at, limit.is_retesting = 10.0, 0.0, False
     for _ in range(400):
         proxy.now += 2
-        ask(proxy, 7, tenant=0)
+        send_request(proxy, 7, tenant=0)
     assert limit.inflight == 7
-    assert not proxy.seen[ask(proxy, 7, tenant=0)].tries
-    assert proxy.seen[ask(proxy, 7, tenant=1)].tries  # room remains for a tenant within its quota
+    assert not proxy.seen[send_request(proxy, 7, tenant=0)].tries
+    assert proxy.seen[send_request(proxy, 7, tenant=1)].tries  # room remains for a tenant within its quota
 
 
-def test_load_moves_slots_from_a_server_that_is_overloaded_and_brings_them_back() -> None:
-    proxy = proxy_of()
-    warm(proxy)
+def test_slots_move_away_from_an_overloaded_server_and_return() -> None:
+    proxy = create_proxy()
+    warm_up(proxy)
     slow = serve(proxy, 7)
     server = proxy.balancer.members[slow or b""]
     for key in range(1, 600):
-        n = ask(proxy, key)
+        n = send_request(proxy, key)
         late = bool(proxy.seen[n].tries) and server_of(proxy, n) == slow
         proxy.now += 30
         if proxy.seen[n].tries:
@@ -348,7 +348,7 @@
 
 def test_the_work_for_a_request_does_not_grow_with_the_pool() -> None:
     def calls(n: int) -> float:
-        proxy = proxy_of(n)
+        proxy = create_proxy(n)
         for key in range(1, 300):  # until owners are computed and windows are closed
             serve(proxy, key, 1)
         proxy.balancer.review_at = float("inf")
@@ -369,33 +369,33 @@
 
 def test_equal_events_give_equal_actions() -> None:
     def run() -> list[tuple[float, bytes]]:
-        proxy = proxy_of(poll_endpoints=True, poll_interval=10000.0)
-        warm(proxy)
+        proxy = create_proxy(poll_endpoints=True, poll_interval=10000.0)
+        warm_up(proxy)
         proxy.advance(proxy.now + 5000)
         return proxy.sends
 
     assert run() == run()
 
 
-def test_an_owner_that_stands_still_is_passed_over_until_it_answers() -> None:
-    proxy = proxy_of(balancer_count=1)
-    warm(proxy, 1000)  # windows have closed, so the mean latency is known
+def test_a_stalled_owner_is_skipped_until_a_send_completes() -> None:
+    proxy = create_proxy(balancer_count=1)
+    warm_up(proxy, 1000)  # windows have closed, so the mean latency is known
     owner = serve(proxy, 7)
     assert owner is not None
     limiter, latency = proxy.balancer.members[owner].limiter, 50.0
-    out = [ask(proxy, 7), ask(proxy, 7)]
-    assert [server_of(proxy, n) for n in out] == [owner, owner]
+    outstanding = [send_request(proxy, 7), send_request(proxy, 7)]
+    assert [server_of(proxy, n) for n in outstanding] == [owner, owner]
     proxy.now += latency + 1  # nothing has completed for longer than the mean latency
     assert limiter.admits(proxy.now), "its limit has room"
     assert serve(proxy, 7) not in (owner, None)
-    proxy.end(out[0], 0, Outcome.OK)
+    proxy.end(outstanding[0], 0, Outcome.OK)
     assert serve(proxy, 7) == owner
 
 
-def test_one_long_request_is_no_sign_that_a_server_stands_still() -> None:
-    proxy = proxy_of(balancer_count=1)
-    warm(proxy, 1000)
+def test_one_long_request_does_not_mark_a_server_as_stalled() -> None:
+    proxy = create_proxy(balancer_count=1)
+    warm_up(proxy, 1000)
     owner = serve(proxy, 7)
-    first = ask(proxy, 7)
+    first = send_request(proxy, 7)
     proxy.now += 400
     assert server_of(proxy, first) == serve(proxy, 7) == owner
--- a/tests/balancing/test_concurrency_limiter.py
+++ b/tests/balancing/test_concurrency_limiter.py
@@ -30,14 +30,14 @@
     return now
 
 
-def test_no_limit_before_a_first_window() -> None:
+def test_there_is_no_limit_before_the_first_window() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     assert limiter.max_concurrency == inf
     fill(limiter, 0, 10, 100, WINDOW_SAMPLES - 1)
     assert limiter.max_concurrency == inf and limiter.admits(200)
 
 
-def test_first_window_sets_min_latency_and_the_formula_the_limit() -> None:
+def test_the_first_window_sets_min_latency_and_the_limit_by_the_formula() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     fill(limiter, 0, 10, 100)
     # 16 sends in 160 ms: 0.1 per ms. alpha = 500 / 100 - 2 = 3. The headroom is (2 + 3) * 100 - 100 = 400.
@@ -46,8 +46,8 @@
     assert isclose(limiter.max_concurrency, 40 + 1 + sqrt(40))
 
 
-def test_where_nobody_else_could_be_asked_the_swing_is_one_send_more_while_latency_leaves_room() -> None:
-    for latency, more in ((50, 1.0), (600, 0.0)):  # 600 exceeds the headroom over the first latency
+def test_the_allowance_of_the_origin_is_one_send_more_while_latency_leaves_headroom() -> None:
+    for latency, extra in ((50, 1.0), (600, 0.0)):  # 600 exceeds the headroom over the first latency
         limits = []
         for interval in (inf, OBJECTIVE):
             limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.01, False)
@@ -55,10 +55,10 @@
             now = fill(limiter, 0, 500, 50)  # two per second, like one of 200 balancers that fetch
             fill(limiter, now, 500, latency)
             limits.append(limiter.max_concurrency)
-        assert isclose(limits[1] - limits[0], more, abs_tol=0.02), limits
+        assert isclose(limits[1] - limits[0], extra, abs_tol=0.02), limits
 
 
-def test_a_window_closes_early_on_enough_samples_or_at_its_timeout_with_a_few() -> None:
+def test_a_window_closes_with_enough_samples_or_at_its_timeout_with_a_few() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     fill(limiter, 0, WINDOW_OBJECTIVES * OBJECTIVE / MIN_WINDOW_SAMPLES, 100, MIN_WINDOW_SAMPLES)
     assert limiter.window_count == 0 and isclose(
@@ -81,7 +81,7 @@
     assert isclose(limiter.max_qps, 0.2 + (0.05 - 0.2) * EMA_ALPHA / 10)
 
 
-def test_min_latency_rises_by_ema_and_not_past_the_bound() -> None:
+def test_min_latency_rises_by_ema_up_to_the_bound() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     now = fill(limiter, 0, 10, 100)
     now = fill(limiter, now, 10, 200)
@@ -94,7 +94,7 @@
     assert isclose(limiter.min_latency, OBJECTIVE / (2 + MIN_ALPHA))
 
 
-def test_latency_beyond_the_room_leaves_the_floor_kept_as_a_mean() -> None:
+def test_latency_without_headroom_leaves_the_minimum_limit_as_a_mean() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     now = fill(limiter, 0, 10, 100)
     limiter.retest_at = inf
@@ -121,7 +121,7 @@
     assert limiter.max_concurrency > 1
 
 
-def test_an_attempt_lost_with_nothing_completed_since_drains_the_server() -> None:
+def test_a_drop_without_a_later_completion_drains_the_server() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     now = fill(limiter, 0, 10, 100)
     limiter.on_drop(now - 50, now + 450)
@@ -131,7 +131,7 @@
     assert not limiter.admits(now + 1000) and limiter.admits(now + 1001)  # paused for the attempt's duration
 
 
-def test_retest_cuts_drains_and_measures() -> None:
+def test_a_retest_cuts_the_limit_then_drains_and_measures() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False)
     now = fill(limiter, 0, 10, 100)
     assert limiter.retest_at == now + RETEST_LATENCIES * 100
@@ -141,12 +141,12 @@
     assert not limiter.admits(now + 299)
     limiter.inflight = 0
     assert limiter.admits(now + 300)  # drained for twice the latency of 150
-    kept = limiter.min_latency
+    previous = limiter.min_latency
     limiter.on_complete(400, now + 310)
     assert limiter.window_count == 0  # sent before the drain: it had queued
     fill(limiter, now + 300 + 80, 10, 80, 2 * MIN_WINDOW_SAMPLES)
     assert not limiter.is_retesting
-    assert isclose(limiter.min_latency, kept + (80 - kept) * 8 / 12)  # eight samples against four
+    assert isclose(limiter.min_latency, previous + (80 - previous) * 8 / 12)  # eight samples against four
 
 
 def test_a_retest_with_few_in_flight_keeps_a_quarter_of_the_limit() -> None:
@@ -163,15 +163,15 @@
     # A retest limits a server with a few sends per second to one at a time until eight are measured. With a
     # retest every 100 latencies, that was a quarter of the time and caused most rejections of a fleet that
     # had room to spare.
-    limiter, now, cut = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False), 0.0, 0
+    limiter, now, retesting_count = ConcurrencyLimiter(0, OBJECTIVE, 0.5, False), 0.0, 0
     for _ in range(1000):
         now += 200
-        cut += limiter.is_retesting
+        retesting_count += limiter.is_retesting
         if limiter.admits(now):
             limiter.on_send(now)
             limiter.inflight -= 1
             limiter.on_complete(60, now + 60)
-    assert 0 < cut < 100
+    assert 0 < retesting_count < 100
 
 
 def test_a_limit_is_rounded_to_the_nearest_number_of_sends() -> None:
@@ -184,7 +184,7 @@
         assert limiter.inflight == admitted
 
 
-def test_a_started_server_starts_small_and_grows_window_by_window() -> None:
+def test_the_limit_of_a_started_server_doubles_with_each_window() -> None:
     limiter = ConcurrencyLimiter(0, OBJECTIVE, 0.5, True)
     limits, now = [limiter.max_concurrency], 0.0
     for _ in range(4):
@@ -194,21 +194,21 @@
     assert limits == [1, 2, 4, 8, 16]
 
 
-def test_a_clock_that_stands_still_divides_by_no_zero() -> None:
+def test_a_clock_that_stands_still_causes_no_division_by_zero() -> None:
     limiter = ConcurrencyLimiter(5, OBJECTIVE, 0.5, False)
     fill(limiter, 5, 0, 0.0)
     assert limiter.max_qps == WINDOW_SAMPLES
     fill(limiter, 5, 0, 0.0)
 
 
-def test_a_server_that_is_far_away_is_not_held_to_less_than_it_carries_unloaded() -> None:
+def test_a_distant_server_keeps_the_limit_that_it_serves_without_a_queue() -> None:
     limiter, now = ConcurrencyLimiter(0.0, 66.0, 0.5, False), 0.0
     for n in range(400):  # 8 in flight; the network round trip is 28 of the 40 ms
         now += 5
         limiter.on_complete(40 if n % 2 else 42, now)
     assert limiter.max_concurrency >= 8
-    near, now = ConcurrencyLimiter(0.0, 66.0, 0.5, False), 0.0
+    near_limiter, now = ConcurrencyLimiter(0.0, 66.0, 0.5, False), 0.0
     for n in range(400):  # 1 ms away: its 40 ms are time in the queue, and the bound stays
         now += 5
-        near.on_complete(40 if n % 20 else 1, now)
-    assert near.min_latency <= 66 / 2.3
+        near_limiter.on_complete(40 if n % 20 else 1, now)
+    assert near_limiter.min_latency <= 66 / 2.3
--- a/tests/balancing/test_many_balancers.py
+++ b/tests/balancing/test_many_balancers.py
@@ -22,7 +22,7 @@
 from tests.support.balancer_harness import Proxy, entries, settings
 
 
-def lone_proxy(**more: object) -> Proxy:
+def create_proxy(**more: object) -> Proxy:
     """One balancer that knows four servers."""
     conf = settings(report_fields=["rate", "rif"], **more)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
@@ -38,9 +38,9 @@
     return proxy.seen[number].tries[0][0]
 
 
-class ProbesOfDroppedServers(TestCase):
-    def test_trials_of_a_server_that_lost_all_do_not_add_up_with_the_balancers(self) -> None:
-        def probes(balancers: int) -> int:
+class ProbeRate(TestCase):
+    def test_probes_of_a_server_that_drops_all_do_not_add_up_over_balancers(self) -> None:
+        def count_probes(balancers: int) -> int:
             """The probes of all balancers in 20 s, if each send is dropped after 600 ms."""
             count = 0
             for _ in range(balancers):
@@ -54,35 +54,35 @@
                     now += 50
             return count
 
-        few = probes(10)
-        for many in (20, 40):
-            self.assertLess(probes(many), 1.5 * few)
+        baseline = count_probes(10)
+        for balancers in (20, 40):
+            self.assertLess(count_probes(balancers), 1.5 * baseline)
 
-    def test_the_origin_is_tried_again_by_what_it_carried_however_many_and_uneven_the_balancers(self) -> None:
+    def test_the_origin_is_probed_by_its_former_load_for_any_number_of_uneven_balancers(self) -> None:
         # The time in ms between the fetches of a balancer differs from one balancer to the next.
-        for balancers, asked in ((1, 40), (3, 200), (200, 200), (200, 1000), (200, 4000)):
-            with self.subTest(balancer_count=balancers, asked=asked):
+        for balancers, interval in ((1, 40), (3, 200), (200, 200), (200, 1000), (200, 4000)):
+            with self.subTest(balancer_count=balancers, interval=interval):
                 conf = settings(balancer_count=balancers, cache_aside=True, origin_kind=1)
                 proxy = Proxy(Balancer(conf, 1, 0.0), conf)
                 proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, [Endpoint(b"origin", server_kind=1)]))
-                lost, back, number = 0, 0.0, 0
-                cut, over = 20_000, 26_000  # no attempt completes in between
-                while not back:
-                    proxy.advance(proxy.now + asked)
+                lost_count, recovery_time, number = 0, 0.0, 0
+                outage_start, outage_end = 20_000, 26_000  # no attempt completes in between
+                while not recovery_time:
+                    proxy.advance(proxy.now + interval)
                     number += 1
                     proxy.feed(RequestReceived(number, 0, 700.0, key=number, is_write=True))
-                    if proxy.seen[number].tries and not cut - 100 < proxy.now < over:
+                    if proxy.seen[number].tries and not outage_start - 100 < proxy.now < outage_end:
                         proxy.now += 100
                         proxy.end(number, 0, Outcome.OK)
-                        back = proxy.now - over if proxy.now > over else 0.0
+                        recovery_time = proxy.now - outage_end if proxy.now > outage_end else 0.0
                     elif proxy.seen[number].tries:
-                        lost += 1
-                self.assertLess(lost, 3 + 6000 / asked / 2)
-                self.assertLess(back, 2000 + 8 * asked)
+                        lost_count += 1
+                self.assertLess(lost_count, 3 + 6000 / interval / 2)
+                self.assertLess(recovery_time, 2000 + 8 * interval)
 
 
 class SlowStart(TestCase):
-    def test_many_balancers_offer_a_started_server_its_share_from_the_beginning(self) -> None:
+    def test_many_balancers_send_a_started_server_its_share_from_the_start(self) -> None:
         offered = warm = 0.0
         for seed in (7, 8):
             fleet = Fleet(100, 12, seed)
@@ -90,16 +90,16 @@
             node = fleet.join()
             fleet.run(9000, 200)
             offered += sum(node.sent[s] for s in range(4, 9)) / 10
-            warm += sum(sum(one.sent[s] for s in range(4, 9)) for one in fleet.nodes.values()) / 14 / 10
+            warm += sum(sum(other.sent[s] for s in range(4, 9)) for other in fleet.nodes.values()) / 14 / 10
         # The slowest server fails at 3 x 0.22 of a warm server's load. Without initial credit it got 0.04.
         self.assertGreater(offered, 0.12 * warm)
         self.assertLess(offered, 3 * 0.22 * warm)
 
 
 class SpillOver(TestCase):
-    def test_three_owners_are_asked_before_a_rejection_and_all_of_them_with_many_balancers(self) -> None:
+    def test_three_owners_are_asked_before_a_rejection_or_all_with_many_balancers(self) -> None:
         for balancers, closed, sent in ((200, 3, 1), (4, 3, 0), (4, 2, 1)):
-            proxy = lone_proxy(balancer_count=balancers)
+            proxy = create_proxy(balancer_count=balancers)
             owners = [server for server, _ in proxy.balancer.slots.owners(splitmix64(1) % SLOT_COUNT)]
             for server in owners[:closed]:  # as during the drain of a retest, or with a limit below one
                 server.limiter.next_send_at = proxy.now + 1000
@@ -108,37 +108,37 @@
 
 
 class OriginFetches(TestCase):
-    def test_a_fetch_that_had_hardly_any_time_left_closes_no_origin(self) -> None:
-        for left, closed in ((50.0, False), (1400.0, True)):
-            proxy = lone_proxy(balancer_count=200, cache_aside=True, origin_kind=1)
+    def test_the_timeout_of_a_fetch_with_little_time_does_not_close_the_origin(self) -> None:
+        for remaining, closed in ((50.0, False), (1400.0, True)):
+            proxy = create_proxy(balancer_count=200, cache_aside=True, origin_kind=1)
             origin = Endpoint(b"origin", server_kind=1)
             proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, [origin]))
             proxy.feed(RequestReceived(1, 0, 1500.0, key=1))
-            proxy.now += 1500 - left
-            proxy.feed(AttemptEnded(1, 0, Outcome.MISS, 1500 - left, cache_result=CacheResult.MISS))
-            proxy.now += left
-            proxy.feed(AttemptEnded(1, 1, Outcome.TIMEOUT, left))
+            proxy.now += 1500 - remaining
+            proxy.feed(AttemptEnded(1, 0, Outcome.MISS, 1500 - remaining, cache_result=CacheResult.MISS))
+            proxy.now += remaining
+            proxy.feed(AttemptEnded(1, 1, Outcome.TIMEOUT, remaining))
             proxy.now += 10
             proxy.feed(RequestReceived(2, 0, 1500.0, key=2, is_write=True))
-            self.assertEqual([to for to, _ in proxy.seen[2].tries], [] if closed else [b"origin"], left)
+            self.assertEqual([to for to, _ in proxy.seen[2].tries], [] if closed else [b"origin"], remaining)
 
 
 class LoadReports(TestCase):
-    def test_a_server_is_passed_over_until_it_has_worked_off_what_it_holds(self) -> None:
-        proxy = lone_proxy()
+    def test_a_server_is_skipped_until_its_reported_queue_is_processed(self) -> None:
+        proxy = create_proxy()
         first = send(proxy, 1, (20.0, 1.0))  # one request in flight at 20 per second: no queue
         self.assertEqual(send(proxy, 2, (20.0, 11.0)), first)  # ten more: half a second of work
         self.assertNotEqual(send(proxy, 3, (20.0, 1.0)), first)
         proxy.advance(proxy.now + 250)  # the remaining work takes less than half the objective
         self.assertEqual(send(proxy, 4), first)
 
-    def test_no_report_or_one_without_the_figures_changes_nothing(self) -> None:
+    def test_a_missing_or_incomplete_load_report_changes_nothing(self) -> None:
         for load in ((), (0.0, 11.0), (20.0, 0.0)):
-            proxy = lone_proxy()
+            proxy = create_proxy()
             first = send(proxy, 1, load)
             self.assertEqual(send(proxy, 2), first, load)
 
-    def test_with_many_balancers_one_sign_of_a_queue_lasts_until_the_next_sends(self) -> None:
+    def test_with_many_balancers_one_overload_signal_lasts_until_the_next_sends(self) -> None:
         ends = {
             "timed out": (Outcome.TIMEOUT, 1500.0, ()),
             "late": (Outcome.OK, 600.0, ()),
@@ -147,7 +147,7 @@
         }
         for name, (outcome, latency, load) in ends.items():
             with self.subTest(name):
-                proxy = lone_proxy(balancer_count=200)
+                proxy = create_proxy(balancer_count=200)
                 proxy.feed(RequestReceived(1, 0, 1500.0, key=1))
                 first = proxy.seen[1].tries[0][0]
                 proxy.now += latency
@@ -157,11 +157,11 @@
                 self.assertNotEqual(send(proxy, 2), first)
                 proxy.now += 50_000
                 self.assertEqual(send(proxy, 3), first)
-        proxy = lone_proxy(balancer_count=200)
+        proxy = create_proxy(balancer_count=200)
         first = send(proxy, 1, (20.0, 1.0))
         self.assertEqual(send(proxy, 2), first)
 
-    def test_forty_balancers_serve_more_in_time_by_what_servers_report(self) -> None:
+    def test_load_reports_let_forty_balancers_serve_more_requests_in_time(self) -> None:
         def served() -> float:
             fleets = [Fleet(40, 12, seed) for seed in (7, 8)]
             for fleet in fleets:
@@ -169,5 +169,5 @@
             return sum(fleet.served(2, 10) for fleet in fleets) / 2
 
         with mock.patch.object(Server, "on_load_report", lambda *_: None):
-            blind = served()
-        self.assertGreater(served(), blind + 0.005)
+            without_reports = served()
+        self.assertGreater(served(), without_reports + 0.005)
--- a/tests/balancing/test_work_by_size.py
+++ b/tests/balancing/test_work_by_size.py
@@ -42,15 +42,15 @@
         self.count += count
         return splitmix64_series(first, count)
 
-    def during(self, act: Callable[[], object]) -> int:
+    def count_during(self, call: Callable[[], object]) -> int:
         """The number of hashes that the slot table computes during this call."""
         before = self.count
         with mock.patch.object(slot_table, "splitmix64", side_effect=splitmix64) as hashing:
-            act()
+            call()
         return self.count - before + hashing.call_count
 
 
-def listed(count: int, hashes: CountedHashes | None = None) -> Balancer:
+def create_balancer(count: int, hashes: CountedHashes | None = None) -> Balancer:
     """A balancer that has applied a list of `count` servers, in as many steps as that takes."""
     balancer = Balancer(settings(), 1, 0.0, SlotTable((hashes or CountedHashes()).series))
     balancer.start(0.0)
@@ -60,40 +60,40 @@
     return balancer
 
 
-def test_a_series_of_hashes_is_what_single_ones_are() -> None:
+def test_a_series_of_hashes_equals_single_hashes() -> None:
     for first in (0, 5, HASH_MASK - 3):
         assert splitmix64_series(first, 8) == [splitmix64(first + i) for i in range(8)]
 
 
-def test_a_change_of_one_server_hashes_its_own_points_alone() -> None:
+def test_a_change_of_one_server_hashes_only_its_own_points() -> None:
     for count in (200, LARGE_FLEET):
         hashes = CountedHashes()
-        balancer = listed(count, hashes)
-        newcomer = EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(sid(count + 1))])
-        assert hashes.during(lambda: balancer.handle(newcomer, 1.0)) <= POINTS_PER_SERVER  # noqa: B023
+        balancer = create_balancer(count, hashes)
+        addition = EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(sid(count + 1))])
+        assert hashes.count_during(lambda: balancer.handle(addition, 1.0)) <= POINTS_PER_SERVER  # noqa: B023
 
 
-def test_a_review_looks_at_the_servers_that_something_has_happened_to() -> None:
+def test_a_review_visits_only_the_servers_that_have_had_events() -> None:
     for count in (200, LARGE_FLEET):
-        balancer = listed(count)
+        balancer = create_balancer(count)
         balancer.handle(RequestReceived(1, 0, 1500.0, key=7), 1.0)
-        with mock.patch.object(pool_review, "_move_slots") as looked_at:
+        with mock.patch.object(pool_review, "_move_slots") as move_slots:
             balancer.handle(TimerFired(0), 2000.0)
-        assert looked_at.call_count == 1
-        with mock.patch.object(pool_review, "_move_slots") as looked_at:
+        assert move_slots.call_count == 1
+        with mock.patch.object(pool_review, "_move_slots") as move_slots:
             balancer.handle(TimerFired(0), 4000.0)
-        assert looked_at.call_count == 0
+        assert move_slots.call_count == 0
 
 
-def test_no_step_of_a_large_change_hashes_more_than_its_part() -> None:
+def test_each_step_of_a_large_change_hashes_a_bounded_number_of_points() -> None:
     hashes = CountedHashes()
-    balancer = listed(LARGE_FLEET, hashes)
+    balancer = create_balancer(LARGE_FLEET, hashes)
     others = [Endpoint(sid(LARGE_FLEET + number)) for number in range(LARGE_FLEET)]
     tokens = list[int]()
     event: Event = EndpointUpdate(EndpointUpdateKind.DIFFERENCE, 2, others)
     steps = 0
     while True:
-        hashed = hashes.during(
+        hashed = hashes.count_during(
             lambda: tokens.extend(a.token for a in balancer.handle(event, 1.0) if isinstance(a, SetTimer))  # noqa: B023
         )
         assert hashed <= slot_table.POINTS_PER_STEP
@@ -102,7 +102,7 @@
             break
         event = TimerFired(tokens.pop())
     assert steps >= LARGE_FLEET * POINTS_PER_SERVER / slot_table.POINTS_PER_STEP
-    assert balancer.slots._visible_count == 2 * LARGE_FLEET
+    assert balancer.slots._published_count == 2 * LARGE_FLEET
 
 
 Change = tuple[int, int]  # a server's number, and its weight in quarters; 0: it is removed
@@ -112,33 +112,31 @@
     st.lists(st.tuples(st.integers(0, 40), st.integers(0, 12)), max_size=120),
     st.randoms(use_true_random=False),
 )
-def test_the_owners_of_all_slots_follow_from_the_list_alone(
-    changes: list[Change], rng: random.Random
-) -> None:
+def test_the_owners_of_all_slots_depend_only_on_the_list(changes: list[Change], rng: random.Random) -> None:
     """The order, the batches and the rebuild steps between them must not matter."""
-    learned = Balancer(settings(), 1, 0.0)
+    incremental = Balancer(settings(), 1, 0.0)
     version = 0
     last = dict[int, int]()
     while changes:
         batch = [changes.pop() for _ in range(min(len(changes), rng.randint(1, 30)))]
         last |= dict(batch)
         version += 1
-        update = EndpointUpdate(EndpointUpdateKind.DELTA, version, [changed(*one) for one in batch])
+        update = EndpointUpdate(EndpointUpdateKind.DELTA, version, [endpoint(*change) for change in batch])
         update.more_follows = rng.random() < 0.3
-        learned.handle(update, 0.0)
+        incremental.handle(update, 0.0)
         if rng.random() < 0.5:
-            learned.slots.settle()
+            incremental.slots.settle()
     fresh = Balancer(settings(), 2, 0.0)
-    final = [changed(*one) for one in last.items() if one[1]]
+    final = [endpoint(*change) for change in last.items() if change[1]]
     rng.shuffle(final)
     fresh.handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, final), 0.0)
-    for balancer in (learned, fresh):
+    for balancer in (incremental, fresh):
         balancer.settle_all()
     for slot in range(0, SLOT_COUNT, 97):
-        assert owner_ids(learned, slot) == owner_ids(fresh, slot)
+        assert owner_ids(incremental, slot) == owner_ids(fresh, slot)
 
 
-def changed(number: int, quarters: int) -> Endpoint:
+def endpoint(number: int, quarters: int) -> Endpoint:
     """The entry of a server with this weight in quarters, or of a server that is gone."""
     if not quarters:
         return Endpoint(sid(number), EndpointState.GONE)
@@ -150,7 +148,7 @@
     return [server.id for server, _ in balancer.slots.owners(slot)]
 
 
-def test_many_that_wait_for_one_fetch_are_sent_on_in_steps() -> None:
+def test_many_requests_that_wait_for_one_fetch_are_resumed_in_steps() -> None:
     waiting = 3 * RESUMED_PER_STEP
     balancer = Balancer(settings(cache_aside=True, origin_kind=1), 1, 0.0)
     balancer.start(0.0)
@@ -163,10 +161,10 @@
     sent = list[int]()
     for _ in range(waiting // RESUMED_PER_STEP):
         actions = balancer.handle(event, 7.0)
-        begun = [action.request_id for action in actions if isinstance(action, StartAttempt)]
-        assert 0 < len(begun) + sum(isinstance(one, Reject) for one in actions) <= RESUMED_PER_STEP
-        sent += begun
+        started = [action.request_id for action in actions if isinstance(action, StartAttempt)]
+        assert 0 < len(started) + sum(isinstance(item, Reject) for item in actions) <= RESUMED_PER_STEP
+        sent += started
         [event] = [
-            TimerFired(one.token) for one in actions if isinstance(one, SetTimer) and not one.delay
+            TimerFired(item.token) for item in actions if isinstance(item, SetTimer) and not item.delay
         ] or [TimerFired(0)]
     assert len(set(sent)) == len(sent)
