--- a/lupinladder/balancing/event_dispatcher.py
+++ b/lupinladder/balancing/event_dispatcher.py
@@ -55,7 +55,7 @@
         self.poller = EndpointPoller(settings, pool.random)
         self._last_poll_number = 0
         self._is_list_complete = True  # no more parts of the current list follow
-        self._settling = False  # a timer for the next step is set
+        self._rebuild_scheduled = False  # a timer for the next step is set
         self.open_requests = dict[int, RequestState]()  # by id, until the last attempt has ended
 
     @property
@@ -145,24 +145,24 @@
             self.poller.on_success()
             endpoints.merge(event, self.now)
             self._is_list_complete = not event.more_follows
-            self._settle_slots()
+            self._rebuild_slots()
 
-    def settle_all(self) -> None:
+    def rebuild_all(self) -> None:
         """Rebuild the slot table completely, for use at the start, when no requests wait."""
-        while not self.slots.settle():
+        while not self.slots.rebuild_step():
             pass
 
-    def _settle_slots(self) -> None:
+    def _rebuild_slots(self) -> None:
         """Take one step of the slot table's rebuild. A timer starts the next step, so that other events are
         handled in between."""
-        is_settled = self.slots.settle(self._is_list_complete)
-        if not is_settled and not self._settling:
-            self._settling = True
-            self.actions.append(self.timers.set(0.0, self._settle_on))
-
-    def _settle_on(self) -> None:
-        self._settling = False
-        self._settle_slots()
+        is_complete = self.slots.rebuild_step(self._is_list_complete)
+        if not is_complete and not self._rebuild_scheduled:
+            self._rebuild_scheduled = True
+            self.actions.append(self.timers.set(0.0, self._continue_rebuild))
+
+    def _continue_rebuild(self) -> None:
+        self._rebuild_scheduled = False
+        self._rebuild_slots()
 
     def _poll_endpoints_after(self, delay: float) -> None:
         """Schedule a poll after this delay in place of any earlier one: a reload may have polled in between,
--- a/lupinladder/balancing/slot_table.py
+++ b/lupinladder/balancing/slot_table.py
@@ -16,7 +16,8 @@
 POINTS_PER_SERVER = 32
 MAX_POINTS = 16 * POINTS_PER_SERVER  # maximum points of one server, whatever its weight
 SPLIT_SHARE = 0.5  # share of a mean server's load for which a slot gets one more owner
-# Points that one call of `settle` inserts or removes in a few ms of CPU time. The last server may exceed it.
+# Points that one call of `rebuild_step` inserts or removes in a few ms of CPU time. The points of its last
+# server may exceed this number.
 POINTS_PER_STEP = 32 * POINTS_PER_SERVER
 
 
@@ -64,7 +65,7 @@
         self._scale.add(server.weight)
         self._restage(member)
 
-    def settle(self, is_list_complete: bool = True) -> bool:
+    def rebuild_step(self, is_list_complete: bool = True) -> bool:
         """Take one step of the rebuild for the listed servers; true if no step remains.
 
         `is_list_complete`: no more parts of the current list follow.
--- a/lupinladder/net/request_dispatcher.py
+++ b/lupinladder/net/request_dispatcher.py
@@ -80,7 +80,7 @@
         for action in self._balancer.start(self._loop.now()):
             self._carry_out(action)
         self.notify(cached)
-        self._balancer.settle_all()
+        self._balancer.rebuild_all()
 
     def servers(self) -> list[Server]:
         """What the balancer knows of each listed server, to read and never to change."""
--- a/tests/balancing/test_slot_table.py
+++ b/tests/balancing/test_slot_table.py
@@ -22,12 +22,13 @@
     slots = SlotTable()
     for server in fleet:
         slots.add(server)
-    settle(slots)
+    rebuild_step(slots)
     return slots
 
 
-def settle(slots: SlotTable) -> None:
-    while not slots.settle():
+def rebuild_step(slots: SlotTable) -> None:
+    """Take all steps of the rebuild."""
+    while not slots.rebuild_step():
         pass
 
 
--- a/tests/balancing/test_work_by_size.py
+++ b/tests/balancing/test_work_by_size.py
@@ -125,13 +125,13 @@
         update.more_follows = rng.random() < 0.3
         incremental.handle(update, 0.0)
         if rng.random() < 0.5:
-            incremental.slots.settle()
+            incremental.slots.rebuild_step()
     fresh = Balancer(settings(), 2, 0.0)
     final = [endpoint(*change) for change in last.items() if change[1]]
     rng.shuffle(final)
     fresh.handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, final), 0.0)
     for balancer in (incremental, fresh):
-        balancer.settle_all()
+        balancer.rebuild_all()
     for slot in range(0, SLOT_COUNT, 97):
         assert owner_ids(incremental, slot) == owner_ids(fresh, slot)
 
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -99,7 +99,7 @@
     def start(self, now: float) -> list[Action]:
         return []
 
-    def settle_all(self) -> None:
+    def rebuild_all(self) -> None:
         """Do nothing: it has no slots."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
