--- a/lupinladder/balancing/concurrency_limiter.py
+++ b/lupinladder/balancing/concurrency_limiter.py
@@ -41,7 +41,7 @@
     def on_send(self, now: float) -> None:
         """Count a send as in flight, and delay the next one if the limit is below one."""
         self.record_send(now)
-        if self.max_concurrency < 1:  # kept as a mean by Little's law, as many balancers share a server
+        if self.max_concurrency < 1:  # it holds as a mean, by Little's law: many balancers share a server
             # For the origin, the probes of all balancers start at half of its former load and halve per drop.
             load_interval = self.mean_send_interval * 2.0**self.consecutive_drops
             self.next_send_at = now + min(
--- a/lupinladder/balancing/event_dispatcher.py
+++ b/lupinladder/balancing/event_dispatcher.py
@@ -1,6 +1,6 @@
 """Dispatches each event to its handler and keeps the state that this needs.
 
-The decisions what to send, reject or hold are made by the handlers in balancer.py.
+No decision is made here: the handlers in balancer.py decide what to send, reject or hold.
 """
 
 from __future__ import annotations
--- a/lupinladder/balancing/outcome_recorder.py
+++ b/lupinladder/balancing/outcome_recorder.py
@@ -27,7 +27,7 @@
         server.on_load_report(inflight, rate / 1000, now, pool.latency_objective)
     is_late = outcome is Outcome.TIMEOUT or event.latency > pool.latency_objective
     fetched = event.cache_result >= CacheResult.MISS and not pool.settings.cache_aside
-    origin_is_slow = pool.fetch_overhead > pool.latency_objective / 2  # then it causes the drops
+    origin_is_slow = pool.fetch_overhead > pool.latency_objective / 2  # then drops show only that
     is_overloaded = (is_late or server.busy_until > now) and not (fetched or origin_is_slow)
     if is_overloaded and _is_sparse(pool, server):
         # No window closes in time, so one sample has to do. It counts until the next send is due.
--- a/lupinladder/balancing/point_ring.py
+++ b/lupinladder/balancing/point_ring.py
@@ -16,7 +16,7 @@
 
 
 class RingMember:
-    """A server with its points in the ring, and whether they count for the owners of slots."""
+    """A server with its points in the ring. They decide the owners of slots once it is published."""
 
     __slots__ = ("is_listed", "is_published", "points", "replaced", "server", "weight")
 
@@ -25,8 +25,8 @@
         self.weight = server.weight  # the weight for which its points were counted
         self.points: list[int] = []  # its points in the ring
         self.is_listed = True  # false: its points are to be removed
-        self.is_published = False
-        self.replaced = replaced  # the same server with its previous weight, which counts until this one does
+        self.is_published = False  # whether its points decide the owners of slots
+        self.replaced = replaced  # the same server with its previous weight, published until this one is
 
 
 class PointRing:
--- a/lupinladder/balancing/slot_table.py
+++ b/lupinladder/balancing/slot_table.py
@@ -76,7 +76,7 @@
             self._pending_recount = list(self._members)
         remaining = self._recount(remaining)
         remaining = self._insert_pending(remaining)
-        # The first few owners of a new list would be overloaded, so each step counts until most are there.
+        # While most servers are missing, the few owners would be overloaded, so that each step is published.
         mostly_missing = 2 * self._published_count < len(self._members)
         if mostly_missing or (is_list_complete and not self._pending_recount and not self._pending_insert):
             self._publish()
@@ -104,7 +104,7 @@
         return remaining
 
     def _fill(self, remaining: int) -> int:
-        """Insert all waiting members into an empty ring at once."""
+        """Insert all pending members into an empty ring at once."""
         members = [member for member in self._pending_insert if member.is_listed]
         self._pending_insert = []
         first_and_count = ((m.server.id_hash, self._point_count(m)) for m in members)
@@ -142,7 +142,7 @@
         self._pending_insert.append(member)
 
     def _restage(self, member: RingMember) -> None:
-        """Count a server's points again; its present points count until the new ones do."""
+        """Insert a server's points for its present weight; the old ones decide until the new ones do."""
         if member.is_published:
             self._stage(RingMember(member.server, member))
             return
--- a/lupinladder/balancing/warm_weight.py
+++ b/lupinladder/balancing/warm_weight.py
@@ -17,7 +17,7 @@
 
 
 class WarmWeight:
-    """Updated as servers are added, removed and warm up, without a loop over all of them. Times are in ms."""
+    """The sum is updated when servers are added, removed or warm, without a loop over all. Times are ms."""
 
     def __init__(self) -> None:
         self.total = 0.0
