--- a/lupinladder/balancing/point_ring.py
+++ b/lupinladder/balancing/point_ring.py
@@ -1,7 +1,7 @@
 """A ring of hashed points, each of which belongs to a server. No decision is made here: see slot_table.py.
 
-The points stand in buckets by their highest bits, so that a change of one server costs what its own points
-cost, and not a shift of all that lie behind them.
+The points are kept in buckets by their highest bits, so that the cost of a change grows with the points of
+the changed server and not with all points that follow them.
 """
 
 from __future__ import annotations
@@ -12,80 +12,79 @@
 from lupinladder.balancing.server import Server
 
 POINT_BITS = 64
-BUCKET_BITS = 8  # some points a bucket with a few servers, some hundreds with thousands
+BUCKET_BITS = 8  # a few points per bucket with few servers, some hundreds with thousands
 
 
 class RingMember:
-    """A server with its points in the ring, and whether slots may go by them."""
+    """A server with its points in the ring. They decide the owners of slots once it is published."""
 
-    __slots__ = ("is_listed", "is_visible", "points", "replaced", "server", "weight")
+    __slots__ = ("is_listed", "is_published", "points", "replaced", "server", "weight")
 
     def __init__(self, server: Server, replaced: RingMember | None = None) -> None:
         self.server = server
-        self.weight = server.weight  # by which its points are counted
-        self.points: list[int] = []  # those in the ring
-        self.is_listed = True  # false: its points are to be taken out
-        self.is_visible = False
-        self.replaced = replaced  # the same server with another weight, visible until this one is
+        self.weight = server.weight  # the weight for which its points were counted
+        self.points: list[int] = []  # its points in the ring
+        self.is_listed = True  # false: its points are to be removed
+        self.is_published = False  # whether its points decide the owners of slots
+        self.replaced = replaced  # the same server with its previous weight, published until this one is
 
 
 class PointRing:
-    """The points of all members in order; after the highest the lowest is next."""
+    """The points of all members in order; the lowest follows the highest."""
 
     def __init__(self) -> None:
-        self._points: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]  # by bucket, each in order
-        self._members: list[list[RingMember]] = [[] for _ in range(1 << BUCKET_BITS)]  # whose they are
+        self._points: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]  # by bucket, each sorted
+        self._members: list[list[RingMember]] = [[] for _ in range(1 << BUCKET_BITS)]  # member of each point
 
     def fill(self, members: list[RingMember], points: list[list[int]]) -> None:
-        """Put the points of all these members into an empty ring: several times as fast as one by one."""
-        owners = dict[int, RingMember]()
+        """Fill an empty ring with the points of all members, several times as fast as by single inserts."""
+        members_by_point = dict[int, RingMember]()
         for member, own_points in zip(members, points, strict=True):
-            owners |= dict.fromkeys(own_points, member)
-        if len(owners) < sum(map(len, points)):  # two servers have the same point
+            members_by_point |= dict.fromkeys(own_points, member)
+        if len(members_by_point) < sum(map(len, points)):  # two servers have the same point
             for member, own_points in zip(members, points, strict=True):
                 self.insert(member, own_points)
             return
         for member, own_points in zip(members, points, strict=True):
             member.points = own_points
-        in_order = sorted(owners)
-        begin = 0
+        sorted_points = sorted(members_by_point)
+        start = 0
         for bucket in range(1 << BUCKET_BITS):
-            end = bisect_left(in_order, (bucket + 1) << (POINT_BITS - BUCKET_BITS), begin)
-            self._points[bucket] = in_order[begin:end]
-            self._members[bucket] = [owners[point] for point in in_order[begin:end]]
-            begin = end
+            end = bisect_left(sorted_points, (bucket + 1) << (POINT_BITS - BUCKET_BITS), start)
+            self._points[bucket] = sorted_points[start:end]
+            self._members[bucket] = [members_by_point[point] for point in sorted_points[start:end]]
+            start = end
 
     def insert(self, member: RingMember, points: list[int]) -> None:
-        """Put a member's points in. Equal ones stand in the order of their servers' ids, whatever the order
-        in which they came."""
+        """Insert a member's points. Equal points are ordered by server id, whatever the insertion order."""
         member.points = points
         for point in points:
             bucket = point >> (POINT_BITS - BUCKET_BITS)
             bucket_points = self._points[bucket]
-            place = bisect_left(bucket_points, point)
-            while place < len(bucket_points) and bucket_points[place] == point:
-                if self._members[bucket][place].server.id >= member.server.id:
+            index = bisect_left(bucket_points, point)
+            while index < len(bucket_points) and bucket_points[index] == point:
+                if self._members[bucket][index].server.id >= member.server.id:
                     break
-                place += 1
-            bucket_points.insert(place, point)
-            self._members[bucket].insert(place, member)
+                index += 1
+            bucket_points.insert(index, point)
+            self._members[bucket].insert(index, member)
 
     def remove(self, member: RingMember) -> None:
-        """Take a member's points out."""
+        """Remove a member's points."""
         for point in member.points:
             bucket = point >> (POINT_BITS - BUCKET_BITS)
-            place = bisect_left(self._points[bucket], point)
-            while self._members[bucket][place] is not member:  # another server has the same point
-                place += 1
-            del self._points[bucket][place]
-            del self._members[bucket][place]
+            index = bisect_left(self._points[bucket], point)
+            while self._members[bucket][index] is not member:  # another server has the same point
+                index += 1
+            del self._points[bucket][index]
+            del self._members[bucket][index]
         member.points = []
 
     def members_from(self, position: int) -> Iterator[RingMember]:
-        """Whose points lie behind this position, one after another, once round the ring."""
-        first = position >> (POINT_BITS - BUCKET_BITS)
-        place = bisect_right(self._points[first], position)
-        yield from self._members[first][place:]
-        for bucket in range(first + 1, first + (1 << BUCKET_BITS)):
+        """The member of each point after this position, in one full round of the ring."""
+        first_bucket = position >> (POINT_BITS - BUCKET_BITS)
+        index = bisect_right(self._points[first_bucket], position)
+        yield from self._members[first_bucket][index:]
+        for bucket in range(first_bucket + 1, first_bucket + (1 << BUCKET_BITS)):
             yield from self._members[bucket & ((1 << BUCKET_BITS) - 1)]
-        yield from self._members[first][:place]
+        yield from self._members[first_bucket][:index]
--- a/lupinladder/balancing/settings_reader.py
+++ b/lupinladder/balancing/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads the balancer's settings from their JSON text, for the proxy and the simulator."""
+"""Reads the balancer's settings from JSON text, for the proxy and the simulator."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from lupinladder.balancing.settings import DeduplicationScope, RequestClass, RetrySafety, Settings
 from lupinladder.errors import LupinladderError
 
-VALUE_BOUND = 1e12  # times and rates are below it
+VALUE_BOUND = 1e12  # upper bound of times and rates
 
 _MISSING = object()
 
 
 class SettingsError(LupinladderError, ValueError):
-    """Settings that cannot be used; the text names the key and its value."""
+    """Settings that cannot be used; the message names the key and its value."""
 
 
 def read_value(tree: Any, path: str, expected: type, default: Any = _MISSING) -> Any:
-    """The value at a dotted path of a JSON tree; a whole number is read as a float where one is expected.
+    """The value at a dotted path of a JSON tree. An integer is converted where a float is expected.
 
-    Raises SettingsError for a required value that is missing, and for one of a wrong type or out of range.
+    Raises SettingsError if a required value is missing, or if a value has a wrong type or is out of range.
     """
-    value = _find(tree, path)
+    value = _look_up(tree, path)
     if value is _MISSING:
         if default is _MISSING:
             message = f"settings: {path} is missing"
@@ -40,14 +40,14 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings, from their JSON text. Unknown keys are skipped; raises SettingsError."""
+    """Parse the settings from JSON text. Unknown keys are ignored; raises SettingsError."""
     try:
         tree = json.loads(text)
     except ValueError as error:
         message = f"settings: not JSON: {error}"
         raise SettingsError(message) from None
     classes = _read_classes(tree)
-    polled = _read_choice(tree, "membership-mode", ("ask", "push")) == "ask"
+    is_polled = _read_choice(tree, "membership-mode", ("ask", "push")) == "ask"
     cache_aside = _read_choice(tree, "family-info.mode", ("through", "aside"), "through") == "aside"
     balancer_count = _read_count(tree, "n-instances")
     max_attempts = _read_count(tree, "ceilings.max-attempts")
@@ -56,7 +56,7 @@
         balancer_count=balancer_count,
         balancer_index=read_value(tree, "me", int),
         zone=read_value(tree, "zone", int, 0),
-        poll_endpoints=polled,
+        poll_endpoints=is_polled,
         poll_interval=read_value(tree, "obligations.ask-within-ms", float, 0.0),
         cache_aside=cache_aside,
         origin_kind=read_value(tree, "family-info.origin-kind", int, -1),
@@ -77,7 +77,7 @@
     )
 
 
-def _find(tree: Any, path: str) -> Any:
+def _look_up(tree: Any, path: str) -> Any:
     node = tree
     for key in path.split("."):
         if not isinstance(node, dict) or key not in node:
@@ -89,7 +89,7 @@
 def _read_choice(tree: Any, path: str, choices: tuple[str, ...], default: Any = _MISSING) -> str:
     value: str = read_value(tree, path, str, default)
     if value not in choices:
-        message = f"settings: {path} is {value!r}"
+        message = f"settings: {path} is {value!r}, expected {' or '.join(choices)}"
         raise SettingsError(message)
     return value
 
@@ -97,13 +97,13 @@
 def _read_count(tree: Any, path: str) -> int:
     value: int = read_value(tree, path, int)
     if value < 1:
-        message = f"settings: {path} is {value}"
+        message = f"settings: {path} is {value}, expected at least 1"
         raise SettingsError(message)
     return value
 
 
 def _read_max_retry_after(tree: Any) -> float:
-    """How long clients may be told to stay away; 0 where they do not heed it."""
+    """The longest pause that clients may be told to make; 0 if they ignore such pauses."""
     if not read_value(tree, "ceilings.retry-after", bool, False):
         return 0.0
     value: float = read_value(tree, "ceilings.max-retry-after-ms", float, 0.0)
@@ -111,19 +111,19 @@
 
 
 def _read_classes(tree: Any) -> list[RequestClass]:
-    classes = [_read_class(one, number) for number, one in enumerate(read_value(tree, "classes", list))]
+    classes = [_read_class(entry, index) for index, entry in enumerate(read_value(tree, "classes", list))]
     if not classes:
         message = "settings: classes is empty"
         raise SettingsError(message)
     return classes
 
 
-def _read_class(tree: Any, number: int) -> RequestClass:
+def _read_class(tree: Any, index: int) -> RequestClass:
     try:
         latency_objective = read_value(tree, "goal-time-ms", float)
         deadline = read_value(tree, "deadline-ms", float)
         if deadline <= 0 or latency_objective <= 0:
-            message = "settings: goal-time-ms and deadline-ms are above 0"
+            message = "settings: goal-time-ms and deadline-ms must be above 0"
             raise SettingsError(message)
         return RequestClass(
             latency_objective,
@@ -136,5 +136,5 @@
             stream=read_value(tree, "stream", bool, False),
         )
     except ValueError as error:
-        message = f"{error} (class {number})"
+        message = f"{error} (class {index})"
         raise SettingsError(message) from None
--- a/lupinladder/balancing/slot_table.py
+++ b/lupinladder/balancing/slot_table.py
@@ -10,127 +10,126 @@
 from lupinladder.balancing.slot_load import SlotLoad
 from lupinladder.balancing.weight_scale import WeightScale
 
-MAX_OWNERS = 8  # owners of one slot that are looked at
-MAX_POINTS_LOOKED_AT = 8 * MAX_OWNERS  # for the owners of one slot
-POINTS_PER_SERVER = (
-    32  # points of a server among the hashed ids, so that many neighbours share what it leaves
-)
-MAX_POINTS = 16 * POINTS_PER_SERVER  # of one server, however far its weight is above the others'
-SPLIT_SHARE = 0.5  # a slot gets one more owner for each such share of a mean server's sends
-# Points that one call of `settle` puts into the ring or takes out, and those of one server more: some ms of a
-# processor.
+MAX_OWNERS = 8  # maximum number of owners considered for one slot
+MAX_POINTS_VISITED = 8 * MAX_OWNERS  # maximum points considered for the owners of one slot
+# Points of a server in the ring: enough that many other servers share the slots of a removed one.
+POINTS_PER_SERVER = 32
+MAX_POINTS = 16 * POINTS_PER_SERVER  # maximum points of one server, whatever its weight
+SPLIT_SHARE = 0.5  # share of a mean server's load for which a slot gets one more owner
+# Points that one call of `rebuild_step` inserts or removes in a few ms of CPU time. The points of its last
+# server may exceed this number.
 POINTS_PER_STEP = 32 * POINTS_PER_SERVER
 
 
 class SlotTable:
-    """Who owns which slot: a pure function of the listed ids and weights, once settled, so that balancers
-    that know the same list agree, whatever the order in which they learned it.
+    """The owners of each slot. Once the rebuild is complete, they depend only on the listed ids and weights:
+    balancers with the same list agree, in whatever order they received it.
 
-    A change costs what the points of the changed servers cost. Who leaves owns nothing from then on. Who
-    comes is put into the ring step by step, and all of a list become owners at once: a table that is half
-    old and half new would be another one in each balancer.
+    The cost of a change grows with the points of the changed servers. Removed servers own nothing from then
+    on. Added servers are inserted into the ring step by step, and all servers of a list become owners at
+    once: a partly updated table would differ between balancers.
     """
 
     def __init__(self, hash_series: HashSeries = splitmix64_series) -> None:
-        """`hash_series` gives what `splitmix64_series` does: who hosts many tables may remember it."""
+        """`hash_series` must be equivalent to `splitmix64_series`; with many tables it may cache hashes."""
         self._hash_series = hash_series
         self._ring = PointRing()
         self._members: dict[ServerId, RingMember] = {}  # the listed servers
         self._scale = WeightScale()
         self._unit = 1.0
-        self._visible_count = 0
-        self._waiting: list[RingMember] = []  # to be put into the ring
-        self._staged: list[RingMember] = []  # in the ring, to be owners once the list is whole
-        self._departed: list[RingMember] = []  # to be taken out of the ring
-        self._recounted: list[ServerId] = []  # whose points are to be counted by another unit
-        self._owners: dict[int, list[tuple[Server, float]]] = {}  # by slot, as far as asked for
+        self._published_count = 0
+        self._pending_insert: list[RingMember] = []  # to be inserted into the ring
+        self._staged: list[RingMember] = []  # in the ring, to become owners once the list is complete
+        self._pending_removal: list[RingMember] = []  # to be removed from the ring
+        self._pending_recount: list[ServerId] = []  # whose points are to be counted for a new unit of weight
+        self._owners: dict[int, list[tuple[Server, float]]] = {}  # by slot, computed on demand
         self.load = SlotLoad()
 
     def add(self, server: Server) -> None:
-        """Have a server own slots as soon as the table is settled."""
+        """Add a server, which owns slots as soon as the rebuild is complete."""
         self._scale.add(server.weight)
         self._stage(RingMember(server))
 
     def remove(self, server: Server) -> None:
-        """Have a server own no slot from now on; one that is not listed is no fault."""
+        """Remove a server, which owns no slots from now on; one that is not listed is ignored."""
         member = self._members.get(server.id)
         if member is not None and member.server is server:
             del self._members[server.id]
             self._scale.remove(member.weight)
-            self._hide(member)
+            self._delist(member)
 
-    def reweigh(self, server: Server) -> None:
-        """Count a listed server's points by its present weight; it owns what it did until then."""
+    def update_weight(self, server: Server) -> None:
+        """Apply the new weight of a listed server, which keeps its slots until the rebuild is complete."""
         member = self._members[server.id]
         self._scale.remove(member.weight)
         self._scale.add(server.weight)
         self._restage(member)
 
-    def settle(self, is_list_whole: bool = True) -> bool:
-        """Take a step towards the listed servers; true if there is none left to take.
+    def rebuild_step(self, is_list_complete: bool = True) -> bool:
+        """Take one step of the rebuild for the listed servers; true if no step remains.
 
-        `is_list_whole`: no more of the list that is being taken in is to come.
+        `is_list_complete`: no more parts of the current list follow.
         """
-        left = POINTS_PER_STEP
-        if is_list_whole and self._scale.unit != self._unit:
+        remaining = POINTS_PER_STEP
+        if is_list_complete and self._scale.unit != self._unit:
             self._unit = self._scale.unit
-            self._recounted = list(self._members)
-        left = self._recount(left)
-        left = self._insert_waiting(left)
-        # Most servers may be missing: a few would be overrun, so that then each step counts.
-        misses_most = 2 * self._visible_count < len(self._members)
-        if misses_most or (is_list_whole and not self._recounted and not self._waiting):
+            self._pending_recount = list(self._members)
+        remaining = self._recount(remaining)
+        remaining = self._insert_pending(remaining)
+        # While most servers are missing, the few owners would be overloaded, so that each step is published.
+        mostly_missing = 2 * self._published_count < len(self._members)
+        if mostly_missing or (is_list_complete and not self._pending_recount and not self._pending_insert):
             self._publish()
-        self._remove_departed(left)
-        return not (self._recounted or self._waiting or self._departed)
+        self._remove_pending(remaining)
+        return not (self._pending_recount or self._pending_insert or self._pending_removal)
 
-    def _recount(self, left: int) -> int:
-        while self._recounted and left > 0:
-            left -= 1
-            member = self._members.get(self._recounted.pop())
+    def _recount(self, remaining: int) -> int:
+        while self._pending_recount and remaining > 0:
+            remaining -= 1
+            member = self._members.get(self._pending_recount.pop())
             if member is not None and member.points and self._point_count(member) != len(member.points):
                 self._restage(member)
-        return left
+        return remaining
 
-    def _insert_waiting(self, left: int) -> int:
-        if not (self._visible_count or self._staged or self._departed):
-            return self._fill(left)  # nothing is in the ring, and nobody is sent anything by it
-        while self._waiting and left > 0:
-            member = self._waiting.pop()
+    def _insert_pending(self, remaining: int) -> int:
+        if not (self._published_count or self._staged or self._pending_removal):
+            return self._fill(remaining)  # the ring is empty, and no request depends on it
+        while self._pending_insert and remaining > 0:
+            member = self._pending_insert.pop()
             if member.is_listed:
                 points = self._hash_series(member.server.id_hash, self._point_count(member))
                 self._ring.insert(member, points)
                 self._staged.append(member)
-                left -= len(points)
-        return left
+                remaining -= len(points)
+        return remaining
 
-    def _fill(self, left: int) -> int:
-        """Put all that wait into an empty ring at once."""
-        members = [member for member in self._waiting if member.is_listed]
-        self._waiting = []
+    def _fill(self, remaining: int) -> int:
+        """Insert all pending members into an empty ring at once."""
+        members = [member for member in self._pending_insert if member.is_listed]
+        self._pending_insert = []
         first_and_count = ((m.server.id_hash, self._point_count(m)) for m in members)
         points = [self._hash_series(first, count) for first, count in first_and_count]
         self._ring.fill(members, points)
         self._staged = members
-        return left
+        return remaining
 
-    def _remove_departed(self, left: int) -> None:
-        while self._departed and left > 0:
-            member = self._departed.pop()
-            left -= len(member.points)
+    def _remove_pending(self, remaining: int) -> None:
+        while self._pending_removal and remaining > 0:
+            member = self._pending_removal.pop()
+            remaining -= len(member.points)
             self._ring.remove(member)
 
     def _publish(self) -> None:
-        """Have the staged servers own slots."""
+        """Make the staged servers owners of slots."""
         if not self._staged:
             return
         for member in self._staged:
             if member.is_listed:
                 if member.replaced is not None:
-                    self._hide(member.replaced)
+                    self._delist(member.replaced)
                     member.replaced = None
-                member.is_visible = True
-                self._visible_count += 1
+                member.is_published = True
+                self._published_count += 1
         self._staged = []
         self._owners = {}
 
@@ -140,52 +139,52 @@
 
     def _stage(self, member: RingMember) -> None:
         self._members[member.server.id] = member
-        self._waiting.append(member)
+        self._pending_insert.append(member)
 
     def _restage(self, member: RingMember) -> None:
-        """Have a server's points counted anew, beside those that it has until then."""
-        if member.is_visible:
+        """Insert a server's points for its present weight; the old ones decide until the new ones do."""
+        if member.is_published:
             self._stage(RingMember(member.server, member))
             return
         self._stage(RingMember(member.server, member.replaced))
         member.replaced = None
-        self._hide(member)
+        self._delist(member)
 
-    def _hide(self, member: RingMember) -> None:
+    def _delist(self, member: RingMember) -> None:
         member.is_listed = False
-        if member.is_visible:
-            member.is_visible = False
-            self._visible_count -= 1
+        if member.is_published:
+            member.is_published = False
+            self._published_count -= 1
             self._owners = {}
         if member.points:
-            self._departed.append(member)
+            self._pending_removal.append(member)
         if member.replaced is not None:
-            self._hide(member.replaced)
+            self._delist(member.replaced)
             member.replaced = None
 
     def owners(self, slot: int) -> list[tuple[Server, float]]:
-        """The slot's owners in order, each with the slot's place (0 to 1) in the order it takes them."""
-        found = self._owners.get(slot)
-        if found is None:
-            servers = self._servers_behind(splitmix64(slot))
-            found = [(s, splitmix64(s.id_hash ^ slot) / HASH_MASK) for s in servers]
-            self._owners[slot] = found
-        return found
-
-    def _servers_behind(self, position: int) -> list[Server]:
-        """The first servers whose points lie behind this position."""
-        found = dict[Server, None]()
-        looked_at = 0
+        """The slot's owners in order, each with the slot's rank (0 to 1) among those of the server."""
+        slot_owners = self._owners.get(slot)
+        if slot_owners is None:
+            servers = self._servers_after(splitmix64(slot))
+            slot_owners = [(s, splitmix64(s.id_hash ^ slot) / HASH_MASK) for s in servers]
+            self._owners[slot] = slot_owners
+        return slot_owners
+
+    def _servers_after(self, position: int) -> list[Server]:
+        """The first servers with points after this position."""
+        servers = dict[Server, None]()
+        visited_count = 0
         for member in self._ring.members_from(position):
-            if not member.is_visible:
+            if not member.is_published:
                 continue
-            looked_at += 1
-            found[member.server] = None
-            if len(found) == MAX_OWNERS or looked_at == MAX_POINTS_LOOKED_AT:
+            visited_count += 1
+            servers[member.server] = None
+            if len(servers) == MAX_OWNERS or visited_count == MAX_POINTS_VISITED:
                 break
-        return list(found)
+        return list(servers)
 
     def owner_count(self, slot: int) -> int:
-        """Count a send, and return how many owners share the slot: a hot key cannot be split below it."""
+        """Count a send; returns how many owners share the slot, as a hot key cannot be split over slots."""
         load = self.load.count(slot)
         return 1 + int(load / max(SPLIT_SHARE * self.load.mean_server_load, MIN_WINDOW_SAMPLES))
