--- a/lupinladder/__init__.py
+++ b/lupinladder/__init__.py
@@ -1,4 +1,4 @@
-"""lupinladder: the decisions of a router in front of a fleet of cache servers."""
+"""lupinladder: the decision module of a proxy in front of a fleet of cache servers."""
 
 from lupinladder.balancing.balancer import Balancer
 
--- a/lupinladder/__main__.py
+++ b/lupinladder/__main__.py
@@ -1,4 +1,4 @@
-"""The program: `python -m lupinladder` is one proxy; with arguments, `lupinladder` is the command line."""
+"""The program. `python -m lupinladder` runs one proxy; `lupinladder` with arguments is the command line."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
 
-# A full walk of the garbage collector comes with 25,000 objects more than were freed, not with 20 million:
-# what is left in cycles (a parser of HTTP and its reader) must not pile up.
+# A full garbage collection runs once 25,000 more objects were created than freed, not only at 20 million:
+# unreachable reference cycles (such as an HTTP parser and its reader) must not accumulate.
 GC_THRESHOLDS = (1_000, 5, 5)
 
 
 def main() -> int:
-    """Run one proxy until it is told to stop; the process's exit code."""
+    """Run one proxy until it is stopped; return the exit code of the process."""
     unblock_output()
     try:
-        signals = retry_start(SignalReceiver)  # first of all: without a handler SIGHUP ends the process
+        signals = retry_start(SignalReceiver)  # first, as SIGHUP ends a process without a handler
         conf = retry_start(lambda: config.load(os.environ), lambda: signals.is_stop_pending)
         operator = config.load_operator_settings(os.environ)
-        # These may fail for a moment. The rest is made once: it calls discovery and holds the store.
+        # These may fail for a moment. The proxy is created only once: it calls discovery and opens the store.
         loop = retry_start(EventLoop)
         listening_socket = retry_start(
             lambda: open_listening_socket(conf.listen_address), lambda: signals.is_stop_pending
@@ -47,16 +47,16 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Keep the collector from walking, again and again, what the start leaves for good."""
+    """Exclude the objects of the start, which are kept until the end, from all later collections."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def entry() -> int:
-    """The installed command: with no argument the proxy, as the platform starts it; else the command line."""
+    """Entry point of the installed command: the command line if there are arguments, else the proxy."""
     if len(sys.argv) > 1:
-        from lupinladder.cli.app import app  # which the platform's start never imports
+        from lupinladder.cli.app import app  # never imported when the platform starts the proxy
 
         app(prog_name="lupinladder")
     return main()
--- a/lupinladder/errors.py
+++ b/lupinladder/errors.py
@@ -1,5 +1,5 @@
-"""The base of the errors that the project's own code raises."""
+"""The base class of the project's own errors."""
 
 
 class LupinladderError(Exception):
-    """Any error that this project defines; its subclasses carry their facts as attributes."""
+    """Base of all errors that this project defines; subclasses carry details as attributes."""
--- a/lupinladder/net/event_loop.py
+++ b/lupinladder/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: one selector, one clock, one sorted list of timers."""
+"""The event loop: one selector, one monotonic clock and one sorted list of timers."""
 
 from __future__ import annotations
 
@@ -18,75 +18,76 @@
 from lupinladder.net.turn_monitor import TurnMonitor, TurnRecord
 from lupinladder.net.wall_clock import WallClock
 
-# Time beyond what was asked for, after which the process counts as having stood still: the slack that the
-# rules give each time limit (PROTOCOL).
+# The process counts as stalled if a wait lasts so many ms longer than requested: this is the slack that the
+# rules add to each time limit (PROTOCOL).
 STALL_THRESHOLD_MS = 50.0
-# For so long at most the end of a client may lie unread beside what is sent for it: half of the time after
-# which that counts as a lost request.
+# Maximum time in ms for which a client's disconnect may lie unread while something is sent for that client:
+# half of the time after which the rules count that as a lost request.
 LATE_TURN_MS = 50.0
-# A turn looks after sockets for so long, and one more; those that are left come first in the next one. The
-# same holds for timers and for deferred calls. So nothing waits for all that has come at once.
+# Maximum time in ms that an iteration spends on each of sockets, timers and deferred calls; the callback
+# that is running at its end is completed. The remaining ones come first in the next iteration, so that none
+# of the three waits until all of the others' work is done.
 PHASE_TIME_MS = 5.0
 
 
 class Timer(NamedTuple):
-    """A callback at a time. Timers sort by their time, then in the order in which they were set."""
+    """A callback and its due time. Timers sort by due time, then by the order in which they were set."""
 
     when: float  # ms on the loop's clock
-    number: int  # never used twice, so that a comparison never reaches the callback
+    number: int  # unique, so that a comparison never reaches the callback
     callback: Callable[[], object]
 
 
 class WatchRank(IntEnum):
-    """Whose sockets are looked after before others that are ready in the same turn."""
+    """The order in which sockets that are ready in the same iteration are handled."""
 
-    ENDPOINT_LIST = 0  # what it brings decides what may be done with all others, in each turn
-    CLIENT = 1  # the end of a client decides what may be sent for it, in a late turn
+    ENDPOINT_LIST = 0  # first in every iteration: the list decides which servers may be used
+    CLIENT = 1  # before the rest in a late iteration: nothing may be sent for a client that has gone
     OTHER = 2
 
 
 class Watcher(NamedTuple):
-    """What the loop does for a socket that is ready."""
+    """The callback of a watched socket, and its rank."""
 
     ready: Callable[[int], None]
     rank: WatchRank
 
 
 class EventLoop:
-    """Runs callbacks for ready sockets and for timers that are due. Nothing here may block."""
+    """Runs callbacks for ready sockets and for due timers. No callback may block."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
-        # Monotonic milliseconds, anchored once to Unix time: a step of the system's clock moves nothing.
-        # Times that others read off that clock are converted by `wall_clock`.
+        # The loop's clock is monotonic, in ms, and was set to Unix time once: steps of the system's clock do
+        # not change it. `wall_clock` converts times that were read from the system's clock.
         self.wall_clock = WallClock()
         self._clock_offset_ms = (time.time() - time.monotonic()) * 1000
         self._timers: list[Timer] = []  # sorted
         self._soon: deque[Callable[[], object]] = deque()
         self._last_timer_number = 0
         self._running = True
-        self._list_watchers = 0  # sockets of the first rank: in most turns there is nothing to sort
+        self._list_watchers = 0  # number of sockets of the first rank; with none there is little to sort
         self._selected_at = self.now()
-        self._postponed: set[int] = set()  # descriptors that were ready and left for the next turn
-        self._postponed_since = self._selected_at  # when the first of them was looked for
-        # Ms for which bytes that are read in this turn may have lain unread when it began.
+        self._postponed: set[int] = set()  # descriptors that were ready and wait for the next iteration
+        self._postponed_since = self._selected_at  # the earliest time at which one may have become ready
+        # Maximum time in ms for which bytes read in this iteration may have been waiting when it started.
         self.unread_time = 0.0
         self._turn_monitor = TurnMonitor()
-        self._turn: TurnRecord | None = None  # the one that is running, or the last one
+        self._turn: TurnRecord | None = None  # the current iteration, or the last one
 
     def now(self) -> float:
-        """The loop's time in ms: Unix time at its start, monotonic since."""
+        """Return the loop's time in ms: Unix time at its start, monotonic since then."""
         return time.monotonic() * 1000 + self._clock_offset_ms
 
     def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
-        """Call at this time, in ms; the result names the timer for `cancel`."""
+        """Call `callback` at this time, in ms; the returned timer can be passed to `cancel`."""
         self._last_timer_number += 1
         timer = Timer(when, self._last_timer_number, callback)
         insort(self._timers, timer)
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Forget a timer. One that has fired, or none, is no fault."""
+        """Cancel a timer. None and a timer that has already fired are accepted."""
         if timer is None:
             return
         place = bisect_left(self._timers, timer)
@@ -94,7 +95,7 @@
             del self._timers[place]
 
     def call_soon(self, callback: Callable[[], object]) -> None:
-        """Call after the callbacks now running, so that none is entered from within another."""
+        """Call after the callbacks that are running now, so that none is entered from within another."""
         self._soon.append(callback)
 
     def watch(
@@ -105,11 +106,11 @@
         ready: Callable[[int], None],
         rank: WatchRank = WatchRank.OTHER,
     ) -> None:
-        """Change what a socket is watched for: bits of selectors.EVENT_READ and EVENT_WRITE. `ready` is
-        called with the bits that came true.
+        """Change the events that a socket is watched for: bits of selectors.EVENT_READ and EVENT_WRITE.
 
-        A list of endpoints is looked after first of all: without that a process that stood still would send
-        on, by the list it had, whatever has come meanwhile, with the new list unread beside it.
+        `ready` is called with the bits of the events that have occurred. Endpoint lists are handled first:
+        otherwise a process that was suspended would send the requests that have arrived meanwhile by its old
+        list, while the new one lies unread.
 
         Raises OSError if the system has no memory to watch one more socket.
         """
@@ -126,17 +127,17 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether what is ready in this turn may have been so for longer than a client's end may stay unseen
-        before something is sent for it."""
+        """Whether sockets that are ready in this iteration may have been ready for too long: for longer than
+        a client's disconnect may lie unread before something is sent for that client."""
         return self.unread_time > LATE_TURN_MS
 
     @property
     def turn_began_at(self) -> float:
-        """When the turn that is running began to look after what was ready, in ms."""
+        """When the current iteration started to handle ready sockets, in ms."""
         return self._selected_at
 
     def run_once(self) -> None:
-        """One turn: wait for the next thing to do and do all that is due."""
+        """Run one iteration: wait for a socket or a timer, then handle everything that is due."""
         asked_at = self.now()
         if self._turn is not None:
             self._turn_monitor.record(self._turn, asked_at)
@@ -145,13 +146,14 @@
         started_at = self.now()
         self.wall_clock.observe(time.time() * 1000, started_at)
         overrun = max(started_at - asked_at - wait, 0.0)
-        # What is ready now came after the loop looked before this turn, or since it should have woken.
+        # A socket that is ready now became ready after the previous wait ended. The time of this wait does
+        # not count, as a ready socket ends it; the time by which it was overrun does.
         if not self._postponed:
             self._postponed_since = self._selected_at
         self.unread_time = asked_at - self._postponed_since + overrun
         self._selected_at = started_at
         if overrun > STALL_THRESHOLD_MS or self.is_late:
-            # The process stood still: more is ready by now than what would have woken it.
+            # The process was stalled: more sockets are ready by now than those that ended the wait.
             ready = self._selector.select(0)
         self._turn = TurnRecord(started_at, sockets=len(ready), deferred=len(self._soon))
         self._run_ready(ready)
@@ -161,7 +163,7 @@
         self._run_deferred(self._turn.deferred_began_at)
 
     def _time_until_next(self, now: float) -> float:
-        """How long a turn may wait for sockets, in ms: until the first timer is due, or without end."""
+        """Return how long an iteration may wait for sockets, in ms: at most until the first timer is due."""
         if self._soon:
             return 0.0
         if self._timers:
@@ -169,9 +171,9 @@
         return inf
 
     def _run_ready(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
-        """Call back for the sockets that are ready, by rank where it matters, until the time is over.
+        """Run the callbacks of ready sockets for at most `PHASE_TIME_MS`, by rank where it matters.
 
-        In a late turn all of them are looked after: an end that is unread may have been so for long.
+        A late iteration handles all of them: a disconnect among them may have been unread for long.
         """
         if len(ready) > 1:
             if self.is_late:
@@ -184,18 +186,21 @@
             if place and not self.is_late and self.now() >= stop_at:
                 self._postponed = {left.fd for left, _ in ready[place:]}
                 return
-            # A callback earlier in this turn may have closed this socket, and its number may be in use again.
+            # An earlier callback may have closed this socket, and its descriptor may be in use again.
             if self._selector.get_map().get(key.fd) is key:
                 self._run(partial(key.data.ready, mask))
 
     def _place_in_turn(self, ready: tuple[selectors.SelectorKey, int]) -> tuple[bool, bool]:
-        """Lists go first, then what was left by the turn before."""
+        """Sort key: endpoint lists first, then the sockets that the previous iteration postponed."""
         key, _ = ready
         return key.data.rank is not WatchRank.ENDPOINT_LIST, key.fd not in self._postponed
 
     def _run_due_timers(self, now: float) -> int:
-        """Call back for the timers that are due until the time is over; returns how many. Those that a
-        callback adds wait for the next turn, else a timer in the past would starve the sockets."""
+        """Run the callbacks of due timers for at most `PHASE_TIME_MS`; return how many were run.
+
+        Timers that a callback adds wait for the next iteration, or timers in the past would starve the
+        sockets.
+        """
         last_number = self._last_timer_number
         fired = 0
         while self._timers and self._timers[0].when <= now and self._timers[0].number <= last_number:
@@ -206,7 +211,7 @@
         return fired
 
     def _run_deferred(self, now: float) -> None:
-        """Call what was put off until the end of the turn, until the time is over."""
+        """Run deferred calls for at most `PHASE_TIME_MS`."""
         for place in range(len(self._soon)):
             if place and self.now() >= now + PHASE_TIME_MS:
                 break
@@ -215,15 +220,15 @@
     def _run(self, callback: Callable[[], object]) -> None:
         try:
             callback()
-        except Exception:  # noqa: BLE001 - the boundary: one callback's fault must not end the others
+        except Exception:  # noqa: BLE001 - the boundary: an error in one callback must not stop the others
             metrics.callback_errors += 1
             log_event("callback_failed", traceback=format_traceback())
 
     def run(self) -> None:
-        """Turn until `stop` is called."""
+        """Run iterations until `stop` is called."""
         while self._running:
             self.run_once()
 
     def stop(self) -> None:
-        """Have `run` return after the turn that is running."""
+        """Make `run` return after the current iteration."""
         self._running = False
--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -1,8 +1,8 @@
-"""The operators' rules as invariants, checked while the proxy runs and counted when broken. No I/O.
+"""Checks the operators' rules as invariants while the proxy runs, and counts violations. No I/O but the log.
 
-The checks use what was done on sockets and when, and none of the balancer's state, so that a wrong decision
-shows as well as a right one that came too late to be carried out. They decide nothing: `send_guard`, the
-dispatcher and the balancer keep the rules, and a count above zero is a defect of theirs.
+The checks use what happened on sockets and when, and none of the balancer's state, so that they detect wrong
+decisions as well as right ones that were carried out too late. They prevent nothing: `send_guard`, the
+dispatcher and the balancer are responsible for the rules, and a count above zero is a defect in one of them.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from lupinladder.net.metrics import metrics
 from lupinladder.net.pending_request import Attempt, PendingRequest
 
-LIMIT_SLACK_MS = 50.0  # by which the rules on sockets lengthen each limit (PROTOCOL)
-CLIENT_LEFT_SLACK_MS = 100.0  # after a close, within which an attempt may still begin
-DEADLINE_SLACK_MS = 150.0  # by which the deadline that a server is told may be too long
+LIMIT_SLACK_MS = 50.0  # that the rules on sockets add to each time limit (PROTOCOL)
+CLIENT_LEFT_SLACK_MS = 100.0  # after a client's disconnect, in which an attempt may still start
+DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may be too long
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS})
 
 
 class Invariant(StrEnum):
-    """A rule that holds at each event of its kind."""
+    """A rule that is checked at each event that it applies to."""
 
     ANSWERED_ONCE = "answered_once"
     ANSWERED_IN_TIME = "answered_in_time"
-    REJECTED_TRULY = "rejected_truly"  # a rejection promises that a retry does no harm
+    REJECTED_TRULY = "rejected_truly"  # only if a retry does no harm, as a rejection promises
     NOT_SENT_AFTER_ANSWER = "not_sent_after_answer"
     NOT_SENT_AFTER_CLIENT_LEFT = "not_sent_after_client_left"
     NOT_SENT_TO_LEAVING_SERVER = "not_sent_to_leaving_server"
@@ -37,7 +37,7 @@
 
 
 def report_violation(invariant: Invariant, request: PendingRequest | None = None, **facts: object) -> None:
-    """Count a broken rule and log it with the request's history."""
+    """Count a violation and log it with the request's history."""
     metrics.invariant_violations[invariant] += 1
     if request is not None:
         facts["request"] = request.request_id
@@ -46,7 +46,7 @@
 
 
 class InvariantMonitor:
-    """Checks each answer and each send of one proxy. All times are ms on the loop's clock."""
+    """Checks each final answer and each send of one proxy. All times are ms on the loop's clock."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -54,9 +54,10 @@
     def check_send(
         self, attempt: Attempt, told_deadline: float, leaving_since: float | None, now: float
     ) -> None:
-        """An attempt's first byte is about to be written at `now`; the server is told `told_deadline` ms.
+        """Check an attempt whose first byte is about to be written at `now`.
 
-        `leaving_since` is when the proxy was told that the server leaves.
+        `told_deadline` is the forwarded deadline, in ms from now. `leaving_since` is when the proxy learned
+        that the server is retired.
         """
         request = attempt.request
         if request.client_left_at is not None:
@@ -83,7 +84,7 @@
             report_violation(Invariant.REPEATED_AS_PERMITTED, request, attempt=attempt.number)
 
     def check_answer(self, request: PendingRequest, is_rejection: bool, now: float) -> None:
-        """A final answer is about to be given, for a request whose client is there."""
+        """Check a final answer that is about to be given to a connected client."""
         if request.finished:
             report_violation(Invariant.ANSWERED_ONCE, request)
         if now > request.deadline + LIMIT_SLACK_MS:
@@ -96,7 +97,7 @@
 
 
 def _may_repeat(request_class: RequestClass, since_first_send: float) -> bool:
-    """Whether a class allows another send, so long after the first one that may have run."""
+    """Whether the class allows a retry, so many ms after the first send that may have been executed."""
     if request_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
         return since_first_send < request_class.deduplication_window + LIMIT_SLACK_MS
     return request_class.retry_safety is RetrySafety.IDEMPOTENT
--- a/lupinladder/net/log.py
+++ b/lupinladder/net/log.py
@@ -1,4 +1,4 @@
-"""The operator's log: a line an event on standard error, `lupinladder: event key=value ...`, rate-limited."""
+"""The operator's log on standard error: rate-limited lines, `lupinladder: event key=value ...`."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-MAX_LINES_PER_SECOND = 5  # of one event; the rest are counted and the count is printed with the next
+MAX_LINES_PER_SECOND = 5  # of one event; the number of suppressed lines is printed with the next one
 _PLAIN_VALUE = re.compile(r"[!#-<>-~]+")  # ASCII without spaces, quotes and equals signs
 
 
 @dataclass(slots=True)
 class _Rate:
-    """Lines of one event in the second that is running, and those held back since the last one printed."""
+    """How many lines of one event were printed in this second, and suppressed since the last printed one."""
 
     second: int
     printed: int = 0
@@ -29,8 +29,8 @@
 
 
 def log_event(event: str, /, **facts: object) -> None:
-    """Print one line of this event, unless too many were printed in this second. Never raises for an output
-    that is closed."""
+    """Print one line for an event, unless too many were printed in this second. An output that is closed
+    raises no error."""
     second = int(time.monotonic())
     rate = _rates.setdefault(event, _Rate(second))
     if rate.second != second:
@@ -44,24 +44,24 @@
     rate.printed += 1
     rate.suppressed = 0
     line = " ".join([event, *(f"{name}={_format_value(value)}" for name, value in facts.items())])
-    with suppress(OSError):  # whoever read the log may be gone; the proxy serves on
+    with suppress(OSError):  # the reader of the log may have exited; the proxy continues to serve
         print(f"lupinladder: {line}", file=sys.stderr, flush=True)
 
 
 def unblock_output() -> None:
-    """Have lines dropped that a pipe does not take at once: who reads it may hang, and the loop with it."""
-    with suppress(OSError, ValueError):  # no standard error, or none with a descriptor
+    """Drop lines that a full pipe does not take at once: a reader that hangs must not block the loop."""
+    with suppress(OSError, ValueError):  # standard error is missing or has no descriptor
         descriptor = sys.stderr.fileno()
         if stat.S_ISFIFO(os.fstat(descriptor).st_mode):
             os.set_blocking(descriptor, False)
 
 
 def format_traceback() -> str:
-    """The traceback of the exception that is being handled, on one line."""
+    """Return the traceback of the exception that is being handled, on one line."""
     return traceback.format_exc().strip().replace("\n", " | ")
 
 
 def _format_value(value: object) -> str:
-    """A value as one word, in quotes where it would not be one."""
+    """Format a value as one word, in quotes if necessary."""
     text = str(value)
     return text if _PLAIN_VALUE.fullmatch(text) else json.dumps(text)
--- a/lupinladder/net/metrics.py
+++ b/lupinladder/net/metrics.py
@@ -1,4 +1,4 @@
-"""The proxy's counters: one attribute each, added to where the thing happens, printed by `summary`."""
+"""The proxy's counters: one attribute each, incremented where the event occurs, listed by `summary`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """Counts since the start of the process; docs/operations.md says what each tells an operator."""
+    """Counts since the start of the process; docs/operations.md describes each of them."""
 
     accept_errors: int = 0
     attempts_never_started: int = 0
@@ -32,7 +32,7 @@
     endpoint_watches_requested: int = 0
     endpoints_ignored: int = 0
     invalid_commands: int = 0
-    longest_turn_ms: int = 0  # of the event loop
+    longest_turn_ms: int = 0  # duration of the event loop's longest iteration
     origin_errors: int = 0
     requests_abandoned: int = 0
     requests_failed: int = 0
@@ -51,7 +51,7 @@
     upstream_connections_stale: int = 0
     upstream_replies_invalid: int = 0
     attempts_ended: Counter[Outcome] = field(default_factory=Counter)
-    attempts_repeated_after: Counter[Outcome] = field(default_factory=Counter)  # that of the one before
+    attempts_repeated_after: Counter[Outcome] = field(default_factory=Counter)  # by the previous outcome
     failures_by_reason: Counter[str] = field(default_factory=Counter)  # by AnswerReason
     rejections_by_reason: Counter[str] = field(default_factory=Counter)  # by AnswerReason
     connections_closed: Counter[str] = field(default_factory=Counter)  # by CloseReason
@@ -59,7 +59,7 @@
     sends_refused: Counter[str] = field(default_factory=Counter)  # by SendRefusal
 
     def summary(self) -> dict[str, int]:
-        """All counters that are not zero, by name; those with several kinds by kind."""
+        """Return all counters that are not zero, by name; one that is split by kind has an entry for each."""
         counts: dict[str, int] = {}
         for counter in fields(self):
             value = getattr(self, counter.name)
@@ -71,8 +71,8 @@
 
 
 def _label(key: str | Outcome) -> str:
-    """The kind of a counter as a part of its name."""
+    """Return a kind as a part of the counter's name."""
     return key.name.lower() if isinstance(key, Outcome) else key
 
 
-metrics = Metrics()  # the process's counters: the one place for what an operator, or later an agent, reads
+metrics = Metrics()  # the only instance in the process
--- a/lupinladder/net/open_requests.py
+++ b/lupinladder/net/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests of a proxy that are not over: kept from their last byte until their last attempt has ended."""
+"""The open requests of a proxy: each is kept from its last byte until its last attempt has ended."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 class OpenRequests:
-    """Requests by their number, which is never used twice. One that is finished stays until its attempts
-    are over, as their ends are still told."""
+    """Requests by id; no id is used twice. A finished request is kept until its attempts have ended, as the
+    balancer is still notified of their ends."""
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
@@ -19,26 +19,26 @@
         return len(self._by_number)
 
     def next_number(self) -> int:
-        """A number for the next request."""
+        """Return the id of the next request."""
         self._last_number += 1
         return self._last_number
 
     def add(self, request: PendingRequest) -> None:
-        """Keep a request that has been received."""
+        """Add a request that was received."""
         self._by_number[request.request_id] = request
 
     def get(self, number: int) -> PendingRequest | None:
-        """The request of this number; None if it is over."""
+        """Return the request with this id, or None if it is no longer open."""
         return self._by_number.get(number)
 
     def unfinished(self) -> list[PendingRequest]:
-        """Those that wait for their answers."""
+        """Return the requests that wait for their final answers."""
         return [request for request in self._by_number.values() if not request.finished]
 
     def finish(self, request: PendingRequest) -> ResponseHandler:
-        """From here on nobody waits for the request; returns who did. May be called once."""
+        """Mark a request as finished and return its handler. May be called once for each request."""
         handler = request.handler
-        assert handler, "a request has one final answer"
+        assert handler, "the request is finished already"
         request.handler = None
         request.finished = True
         self._loop.cancel(request.guard_timer)
@@ -47,8 +47,11 @@
         return handler
 
     def forget_if_over(self, request: PendingRequest) -> None:
-        """Let go of a request with nothing more to come. Whatever points back at it is cut here, so that it
-        is freed at once: the collector comes seldom, and meanwhile each request would hold some KiB."""
+        """Remove a finished request whose attempts have all ended.
+
+        The reference cycle between it and its attempts is broken here, so that it is freed at once: the
+        garbage collector runs rarely, and until then each request would hold some KiB.
+        """
         if request.finished and all(attempt.finished for attempt in request.attempts):
             self._by_number.pop(request.request_id, None)
             request.attempts.clear()
--- a/lupinladder/net/pending_request.py
+++ b/lupinladder/net/pending_request.py
@@ -1,4 +1,4 @@
-"""Requests that wait for their answer, and their attempts."""
+"""Requests that wait for their final answer, and their attempts."""
 
 from __future__ import annotations
 
@@ -9,59 +9,61 @@
 from lupinladder.balancing.settings import ServerId
 from lupinladder.net.event_loop import Timer
 
-if TYPE_CHECKING:  # the dispatcher imports this module; commands are carried here and never read
+if TYPE_CHECKING:  # the dispatcher imports this module; commands are carried here but not read
     from lupinladder.net.client_command import ClientCommand
     from lupinladder.net.request_dispatcher import RequestDispatcher
 
 
 class ResponseHandler(Protocol):
-    """Who sent a request. Exactly one of these is called, once, unless its client leaves before."""
+    """Takes the final answer to a request: one method is called, once, unless the client disconnects."""
 
     def on_served(self, value: bytes) -> None:
-        """The request has its answer."""
+        """The request was served with this value."""
 
     def on_rejected(self, wait: float) -> None:
-        """The request was not served, and a retry does no harm, best after `wait` ms."""
+        """The request was not served; a retry does no harm and should come after `wait` ms."""
 
     def on_failed(self) -> None:
-        """The request was not served, with no promise about its effects."""
+        """The request was not served; it may have taken effect all the same."""
 
 
 class AttemptExecutor(Protocol):
-    """A way to a server: it carries out attempts."""
+    """Carries out attempts at one server."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin. Ends with exactly one `attempt.end`, unless abandoned before."""
+        """Start an attempt. `attempt.end` is called exactly once, unless the attempt is abandoned before."""
 
     def abandon(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt that has been started."""
+        """Stop waiting for an attempt that was started."""
 
     def request_finished(self, attempt: Attempt) -> None:
-        """Nobody waits any more for the request of an attempt that is out: what is not written yet of it must
-        not be."""
+        """The request of an outstanding attempt is finished: the rest of it must not be written."""
 
 
 @dataclass(slots=True, eq=False, weakref_slot=True)
 class PendingRequest:
-    """A request from its last byte until its last attempt has ended."""
+    """A request, from the arrival of its last byte until its last attempt has ended."""
 
     request_id: int
     command: ClientCommand
     deadline: float  # ms on the loop's clock
-    handler: ResponseHandler | None  # None once it has the final answer
+    handler: ResponseHandler | None  # None once the request is finished
     attempts: list[Attempt] = field(default_factory=list)
-    finished: bool = False  # the final answer is given, or nobody waits for it
+    finished: bool = False  # it has its final answer, or its client has disconnected
     client_left_at: float | None = None
     received_at: float = 0.0
-    guard_timer: Timer | None = None  # fails the request if no answer comes by its deadline
+    guard_timer: Timer | None = None  # fails the request if it has no answer shortly after its deadline
 
     def history(self) -> RequestHistory:
-        """What has happened to it, for the log."""
+        """Return the request's attempts so far, for the log."""
         return RequestHistory(self)
 
 
 class RequestHistory:
-    """A request's attempts in one word, made only when it is printed: times are ms since it was received."""
+    """Describes a request's attempts in one word, formatted only when it is printed.
+
+    Times are ms since the request was received.
+    """
 
     def __init__(self, request: PendingRequest) -> None:
         self._received_at = request.received_at
@@ -85,20 +87,20 @@
 
     dispatcher: RequestDispatcher
     request: PendingRequest
-    executor: AttemptExecutor | None  # None: there is no way to the server
-    number: int  # among the attempts of its request, from 0
+    executor: AttemptExecutor | None  # None if the server cannot be reached
+    number: int  # index among the attempts of its request
     started_at: float
     deadline: float
-    start_by: float  # its first byte is written before this, or it is not sent
+    start_by: float  # it is not sent if its first byte is not written before this
     server: ServerId
     sent_at: float | None = None  # when its first byte was written; set by the executor
-    outcome: Outcome | None = None  # None: outstanding
+    outcome: Outcome | None = None  # None while it is outstanding
     ended_at: float | None = None
     expiry_timer: Timer | None = None
 
     @property
     def finished(self) -> bool:
-        """Whether it has its outcome."""
+        """Whether the attempt has its outcome."""
         return self.outcome is not None
 
     def end(
@@ -108,5 +110,5 @@
         cache_result: CacheResult = CacheResult.NONE,
         load: tuple[float, ...] = (),
     ) -> None:
-        """Report how it went. Whatever is reported after the first time is passed over."""
+        """Report the outcome. Only the first report counts."""
         self.dispatcher.attempt_ended(self, outcome, value, cache_result, load)
--- a/lupinladder/net/request_dispatcher.py
+++ b/lupinladder/net/request_dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: feeds events to the balancer and carries out its actions, as the simulator does.
+"""The request dispatcher passes events to the balancer and carries out its actions, as the simulator does.
 
-It alone calls the Balancer, and owns requests, attempts and their timers. It knows neither RESP nor HTTP:
-who asks and what is passed on are opaque to it, so that another protocol can go through the same decisions.
+Only the dispatcher calls the Balancer, and it owns requests, attempts and their timers. It knows neither RESP
+nor HTTP: commands and handlers are opaque to it, so that another protocol can use the same decisions.
 """
 
 from __future__ import annotations
@@ -42,18 +42,21 @@
 from lupinladder.net.open_requests import OpenRequests
 from lupinladder.net.pending_request import Attempt, AttemptExecutor, PendingRequest, ResponseHandler
 
-if TYPE_CHECKING:  # for a type alone: commands are passed on unread
+if TYPE_CHECKING:  # for annotations only: commands are passed on unread
     from lupinladder.net.client_command import ClientCommand
 
-# How long after its deadline a request is failed if the balancer has not answered it.
+# Time in ms after its deadline at which a request is failed if the balancer has not answered it.
 DEADLINE_GRACE_MS = 15.0
 
 RequestAction = StartAttempt | CancelAttempt | Reject | Fail
 
 
 class RequestDispatcher:
-    """The balancer, the requests it decides on and what its actions do. All times are ms on the loop's
-    clock. `route` finds the way to a server, `watch_endpoints` asks discovery for changes of the list."""
+    """Holds the balancer and the open requests, and carries out the balancer's actions.
+
+    `route` returns the executor for a server; `watch_endpoints` asks discovery for changes of the endpoint
+    list. All times are ms on the loop's clock.
+    """
 
     def __init__(
         self,
@@ -76,27 +79,27 @@
         self.monitor = InvariantMonitor(settings)
 
     def start(self, cached: EndpointUpdate) -> None:
-        """Carry out the balancer's first actions, and tell it the list as it was last known."""
+        """Carry out the balancer's first actions, and pass it the last known endpoint list."""
         for action in self._balancer.start(self._loop.now()):
             self._carry_out(action)
         self.notify(cached)
         self._balancer.settle_all()
 
     def servers(self) -> list[Server]:
-        """What the balancer knows of each listed server, to read and never to change."""
+        """Return the balancer's state of each listed server, which the caller must not change."""
         return list(self._balancer.members.values())
 
     def slot_load(self) -> dict[int, float]:
-        """The balancer's own sends by slot, decaying."""
+        """Return the slot load: the balancer's own sends by slot, decaying over time."""
         return self._balancer.slots.load.by_slot
 
     def shutdown_schedule(self) -> ShutdownSchedule:
-        """How to shut down, beginning now."""
+        """Return the schedule of a graceful shutdown that starts now."""
         return ShutdownSchedule(self._settings, self._loop.now())
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request waits for its answer."""
+        """Whether no request waits for its final answer."""
         return not self._requests.unfinished()
 
     def dispatch(
@@ -105,8 +108,10 @@
         make_event: Callable[[int], RequestReceived],
         handler: ResponseHandler,
     ) -> PendingRequest | None:
-        """Take a request; `make_event` words it for the balancer under the given id. None if it was rejected,
-        as too many are open for the memory we have."""
+        """Accept a request; `make_event` creates the balancer's event for it, given the request's id.
+
+        Returns None if the request was rejected because too many are open for the available memory.
+        """
         metrics.requests_received += 1
         if len(self._requests) >= self._max_open:
             metrics.requests_rejected_for_memory += 1
@@ -124,7 +129,7 @@
         return request
 
     def client_disconnected(self, request: PendingRequest) -> None:
-        """The client has gone: nobody waits for the answer any more."""
+        """Finish a request whose client has disconnected: it needs no answer any more."""
         if not request.finished:
             metrics.requests_abandoned += 1
             request.client_left_at = self._loop.now()
@@ -136,7 +141,7 @@
                     attempt.executor.request_finished(attempt)
 
     def _fail_overdue(self, request: PendingRequest) -> None:
-        """Guard against a request stranded by a fault: its client gets an answer all the same."""
+        """Fail a request that an internal error has left without an answer."""
         if not request.finished:
             metrics.requests_overdue += 1
             log_event("request_overdue", request=request.request_id)
@@ -144,19 +149,22 @@
             self.notify(ClientDisconnected(request.request_id))
 
     def fail_open_requests(self) -> None:
-        """Answer whatever still waits: at the end of a shutdown, before the process is killed."""
+        """Fail all requests without an answer, at the end of a shutdown, before the process is killed."""
         for request in self._requests.unfinished():
             metrics.requests_failed_at_shutdown += 1
             self._answer(request).on_failed()
             self.notify(ClientDisconnected(request.request_id))
 
     def _answer(self, request: PendingRequest, is_rejection: bool = False) -> ResponseHandler:
-        """Finish a request whose client is there: the caller gives the answer to the handler returned."""
+        """Finish a request whose client is connected; the caller answers through the returned handler."""
         self.monitor.check_answer(request, is_rejection, self._loop.now())
         return self._requests.finish(request)
 
     def notify(self, event: Event) -> None:
-        """Tell the balancer. What its actions cause at once is told after them, never from within."""
+        """Pass an event to the balancer.
+
+        Events that its actions cause at once are passed after all of these actions, not recursively.
+        """
         self._events.append(event)
         if self._handling_events:
             return
@@ -168,12 +176,12 @@
             self._handling_events = False
 
     def _handle(self, event: Event) -> None:
-        """Have the balancer decide on one event, and carry out its actions in order."""
+        """Let the balancer handle one event, and carry out its actions in order."""
         try:
             actions = self._balancer.handle(event, self._loop.now())
-        except Exception:  # noqa: BLE001 - the boundary: a fault in a decision costs its request alone
-            self._log_fault(f"balancer, at {type(event).__name__}")
-            # Any other event's request is failed by its guard timer.
+        except Exception:  # noqa: BLE001 - the boundary: an error in a decision fails only its own request
+            self._log_fault(f"balancer, handling {type(event).__name__}")
+            # After any other event, the request's timer fails it.
             stranded = self._requests.get(event.request_id) if isinstance(event, RequestReceived) else None
             if stranded is not None and not stranded.finished:
                 self._answer(stranded).on_failed()
@@ -181,8 +189,8 @@
         for action in actions:
             try:
                 self._carry_out(action)
-            except Exception:  # noqa: BLE001 - the boundary: the other actions are carried out
-                self._log_fault(f"at {type(action).__name__}")
+            except Exception:  # noqa: BLE001 - the boundary: the other actions are still carried out
+                self._log_fault(f"carrying out {type(action).__name__}")
 
     def _log_fault(self, where: str) -> None:
         metrics.dispatcher_errors += 1
@@ -203,7 +211,7 @@
     def _carry_out_for_request(self, action: RequestAction) -> None:
         request = self._requests.get(action.request_id)
         if request is None:
-            return  # finished with all its attempts: nothing can be owed or cancelled
+            return  # it and all its attempts have ended: there is nothing to answer or cancel
         match action:
             case StartAttempt():
                 self._start_attempt(request, action)
@@ -237,7 +245,7 @@
             self._give_up(request.attempts[number], Outcome.CANCELLED)
 
     def _start_attempt(self, request: PendingRequest, action: StartAttempt) -> None:
-        """Start an attempt; it ends at once where it may not begin, or there is no way to its server."""
+        """Start an attempt; it ends at once if it may not start or its server cannot be reached."""
         now = self._loop.now()
         number = len(request.attempts)
         deadline = min(action.expire_at or request.deadline, request.deadline)
@@ -257,12 +265,13 @@
         attempt.expiry_timer = self._loop.call_at(deadline, lambda: self._give_up(attempt, Outcome.TIMEOUT))
         try:
             executor.start(attempt)
-        except Exception:  # noqa: BLE001 - the boundary: it may be half written, so it counts as run
+        except Exception:  # noqa: BLE001 - the boundary: a part may be written, so it counts as executed
             self._log_fault("starting an attempt")
             self._give_up(attempt, Outcome.RESET)
 
     def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt. One that expires unwritten has not run, and ends as such."""
+        """Stop waiting for an attempt. One that expires before it was sent has not been executed, and its
+        outcome says so."""
         if attempt.finished or attempt.executor is None:
             return
         attempt.executor.abandon(attempt)
@@ -278,8 +287,8 @@
         cache_result: CacheResult,
         load: tuple[float, ...],
     ) -> None:
-        """Take the end of an attempt: give its answer to the client, if it is the first, and tell the
-        balancer. Called by `Attempt.end`; further ends of the same attempt are passed over."""
+        """Handle the end of an attempt: answer the client if the request has no answer yet, and notify the
+        balancer. Called by `Attempt.end`; further ends of the same attempt are ignored."""
         if attempt.finished:
             return
         attempt.outcome = outcome
--- a/lupinladder/net/send_guard.py
+++ b/lupinladder/net/send_guard.py
@@ -1,8 +1,8 @@
-"""The one guard before a byte of an attempt is written to a server. No I/O.
+"""The send guard: the check before bytes of an attempt are written to a server. No I/O.
 
-The balancer decides that an attempt is right at the time of its decision. Between that and the write a
-connection may have to come up, the client may leave, the server may begin to drain and a window may end: this
-is asked at the moment of writing, for first attempts, repeats and hedges alike.
+The balancer starts an attempt by what it knows at that time. Before the write, a connection may have to be
+opened, the client may disconnect, the server may start to drain and a deduplication window may end. So the
+guard checks at the time of each write, for first attempts, retries and hedges alike.
 """
 
 from __future__ import annotations
@@ -11,23 +11,24 @@
 
 from lupinladder.net.pending_request import Attempt
 
-# From the first byte to the last: a server begins a command with its last byte, and the deadline that it is
-# told was true at the first one, with 150 ms of slack (standing test), 50 of which are for a process held up.
+# Maximum time in ms from the first byte of an attempt to its last. A server starts a command when it has its
+# last byte, but the forwarded deadline is computed at the first one. It may be too long by 150 ms (standing
+# test), of which 50 ms are kept for a stalled process.
 MAX_WRITE_TIME_MS = 100.0
 
 
 class SendRefusal(StrEnum):
-    """Why an attempt is not sent, or not sent on."""
+    """Why an attempt is not sent, or the rest of it is not written."""
 
-    REQUEST_FINISHED = "request_finished"  # it has its answer, or its client has left
-    SERVER_LEAVING = "server_leaving"  # it drains, is gone, or runs anew elsewhere
-    WINDOW_OVER = "window_over"  # the server would no longer know a repeat for one
+    REQUEST_FINISHED = "request_finished"  # it has its final answer, or its client has disconnected
+    SERVER_LEAVING = "server_leaving"  # the server is draining, removed, moved or restarted
+    WINDOW_OVER = "window_over"  # after the deduplication window a server executes a retry again
     DEADLINE_OVER = "deadline_over"
-    WRITE_OVERDUE = "write_overdue"  # its last byte would come too long after its first
+    WRITE_OVERDUE = "write_overdue"  # its last byte would be written too long after its first
 
 
 def refuse_send(attempt: Attempt, is_server_leaving: bool, now: float) -> SendRefusal | None:
-    """Why the first byte of an attempt must not be written at `now` (ms); None if it may."""
+    """Return why the first byte of an attempt must not be written at `now` (ms), or None if it may be."""
     if attempt.request.finished:
         return SendRefusal.REQUEST_FINISHED
     if is_server_leaving:
@@ -40,9 +41,10 @@
 
 
 def refuse_more(attempt: Attempt, begun_at: float, now: float) -> SendRefusal | None:
-    """Why the rest of an attempt, whose first byte was written at `begun_at`, must not be written at `now`.
+    """Return why the rest of an attempt must not be written at `now` (ms), or None if it may be.
 
-    A server that has begun to leave meanwhile is no reason: for drains a send counts from its first byte.
+    The first byte was written at `begun_at`. That the server was retired since then is no reason: by the
+    rules for draining, an attempt is sent when its first byte is.
     """
     if attempt.request.finished:
         return SendRefusal.REQUEST_FINISHED
@@ -54,5 +56,5 @@
 
 
 def write_by(attempt: Attempt, begun_at: float) -> float:
-    """The time in ms by which the last byte has to be written."""
+    """Return the time in ms by which the last byte must be written."""
     return min(attempt.start_by, begun_at + MAX_WRITE_TIME_MS)
--- a/lupinladder/net/turn_monitor.py
+++ b/lupinladder/net/turn_monitor.py
@@ -1,4 +1,4 @@
-"""How long the turns of the event loop take, and what a long one did. No I/O but the log."""
+"""Measures the iterations of the event loop and logs slow ones. No I/O except the log."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 from lupinladder.net.log import log_event
 from lupinladder.net.metrics import metrics
 
-# From so long on a turn is reported: requests, timers and lists that come meanwhile wait for its end.
+# Duration in ms from which an iteration is reported: requests, timers and endpoint lists that arrive
+# meanwhile wait for its end.
 SLOW_TURN_MS = 20.0
 
 
 @dataclass(slots=True)
 class TurnRecord:
-    """What one turn of the loop has done. Times are ms on the loop's clock."""
+    """What one iteration of the loop has done. Times are ms on the loop's clock."""
 
     began_at: float  # when the selector returned
-    timers_began_at: float = 0.0  # the sockets were looked after until then
-    deferred_began_at: float = 0.0  # the timers that were due were called until then
-    sockets: int = 0
-    timers: int = 0
-    deferred: int = 0  # calls that were put off until the end of the turn
+    timers_began_at: float = 0.0  # the ready sockets were handled before
+    deferred_began_at: float = 0.0  # the due timers were handled before
+    sockets: int = 0  # number of ready ones
+    timers: int = 0  # number of callbacks run
+    deferred: int = 0  # number of deferred calls that were waiting when it started
 
 
 class TurnMonitor:
-    """Counts the slow turns of a loop and keeps the length of the longest."""
+    """Counts the slow iterations of a loop and keeps the duration of the longest."""
 
     def record(self, turn: TurnRecord, ended_at: float) -> None:
-        """Take in a turn that has ended."""
+        """Record an iteration that ended at `ended_at`."""
         duration = ended_at - turn.began_at
         metrics.longest_turn_ms = max(metrics.longest_turn_ms, round(duration))
         if duration < SLOW_TURN_MS:
--- a/lupinladder/net/wall_clock.py
+++ b/lupinladder/net/wall_clock.py
@@ -1,24 +1,25 @@
-"""What the machine's wall clock said, and what a time by it means on the loop's clock. No I/O.
+"""Converts wall-clock times to the loop's clock. No I/O.
 
-The wall clock may be stepped while the process runs; the loop's clock, which is anchored to it once, runs on.
-Discovery tells when a server started by the wall clock as it was then, on a machine that may have been
-stepped with this one or not. So a start time has one meaning for each offset that there ever was.
+The wall clock may be stepped while the process runs; the loop's clock is set to it once and is monotonic from
+then on. Discovery reports start times of servers by the wall clock of that moment, on a machine that may or
+may not have been stepped together with this one. So a start time may have been read at any of the offsets
+between the two clocks that were observed.
 """
 
 from __future__ import annotations
 
-MIN_STEP_MS = 500.0  # a smaller difference is the time between reading two clocks
-MAX_OFFSETS = 16  # that are remembered: the first one, and the latest others
+MIN_STEP_MS = 500.0  # a smaller difference is the time between the readings of the two clocks
+MAX_OFFSETS = 16  # that are kept: the first one and the latest others
 
 
 class WallClock:
-    """The offsets between the wall clock and the loop's clock that a start time may have been read at."""
+    """The offsets of the wall clock from the loop's clock that have been observed."""
 
     def __init__(self) -> None:
-        self._offsets = [0.0]  # by which the wall clock was ahead, in ms; the loop's clock is set by it once
+        self._offsets = [0.0]  # ms by which the wall clock was ahead; 0 when the loop's clock was set to it
 
     def observe(self, unix_ms: float, now: float) -> None:
-        """Take in a reading of the wall clock at this time on the loop's clock, both in ms."""
+        """Record what the wall clock shows at this time on the loop's clock, both in ms."""
         ahead = unix_ms - now
         if abs(ahead - self._offsets[-1]) < MIN_STEP_MS:
             return
@@ -27,10 +28,11 @@
         self._offsets.append(ahead)
 
     def to_loop_time(self, unix_ms: float, now: float) -> float:
-        """When a wall-clock time was, in ms on the loop's clock, and never after `now`.
+        """Convert a wall-clock time to ms on the loop's clock; the result is never after `now`.
 
-        Where steps leave several meanings, it is the latest that is not in the future: a server that counts
-        as warm too soon is sent more than it can do, one that counts as cold for longer is spared.
+        Of several possible times it returns the latest that is not in the future: a server that counts as
+        warm too early is sent more than it can handle, one that counts as cold for too long is only sent
+        less.
         """
         meanings = [unix_ms - ahead for ahead in self._offsets]
         return max((meaning for meaning in meanings if meaning <= now), default=now)
--- a/lupinladder/proxy.py
+++ b/lupinladder/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: the parts of the network side, wired together from one configuration."""
+"""The proxy: creates and connects the parts of the network side from one configuration."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from lupinladder.net.reuse_policy import ReusePolicy
 from lupinladder.net.upstream_protocol import UpstreamProtocol
 
-if TYPE_CHECKING:  # imported only where an operator's file asks for them
+if TYPE_CHECKING:  # imported only if an operator's file enables them
     from lupinladder.net.state_persister import StatePersister
     from lupinladder.operator_config.settings import OperatorSettings
 
-RELOAD_RETRY_MS = 200.0  # until a configuration file that cannot be read is read again
-MAX_RELOAD_RETRIES = 15  # of one signal: what discovery has to tell counts as told 4 s after it (LATER)
-METRICS_INTERVAL_MS = 10_000.0  # between lines of figures in the log
-SHUTDOWN_POLL_INTERVAL_MS = 20.0  # between looks whether all is answered
+RELOAD_RETRY_MS = 200.0  # until a configuration file that could not be read is read again
+MAX_RELOAD_RETRIES = 15  # of one signal: by the rules, the new list counts as received 4 s after it (LATER)
+METRICS_INTERVAL_MS = 10_000.0  # between log lines with the metrics
+SHUTDOWN_POLL_INTERVAL_MS = 20.0  # between checks whether all requests are answered
 
 
 class Proxy:
-    """One proxy: it serves clients of its listening socket while its loop runs."""
+    """One proxy, which serves the clients of its listening socket while its loop runs."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         listening_socket: socket.socket,
         operator: OperatorSettings | None = None,
     ) -> None:
-        """What may fail for a moment at a start, the loop and the listening socket, is made before."""
+        """The caller creates the loop and the listening socket, as these may fail for a moment at a start."""
         self._conf = conf
         self._shutting_down = False
-        self._reload_timer: Timer | None = None  # of a reload that could not read its file
+        self._reload_timer: Timer | None = None  # for the retry of a reload that could not read its file
         self.loop = loop
         self._budget = DescriptorBudget(conf.max_descriptors)
         self._persister = self._open_persister(operator)
@@ -57,7 +57,7 @@
             conf.discovery_address,
             conf.endpoint_parser,
             self._make_pool,
-            lambda update: self.dispatcher.notify(update),  # the dispatcher is made after the registry
+            lambda update: self.dispatcher.notify(update),  # the dispatcher is created after the registry
         )
         self.dispatcher = RequestDispatcher(
             self.loop,
@@ -69,7 +69,7 @@
         )
         self._start_dispatcher()
         if not conf.settings.poll_endpoints:
-            # The list is pushed: what discovery has for us counts as told from our first moment on.
+            # With a pushed list, the rules expect the proxy to know discovery's list from its start on.
             self._registry.open_watch()
         self.listener = ClientListener(
             self.loop, self._budget, self.dispatcher, listening_socket, conf.classes, conf.tenants
@@ -77,7 +77,7 @@
         self._log_metrics()
 
     def _open_persister(self, operator: OperatorSettings | None) -> StatePersister | None:
-        """The persister of the state that outlives a restart, where the operator has asked for one."""
+        """Create the persister of state that survives a restart, if the operator has configured a store."""
         if operator is None or operator.store is None:
             return None
         from lupinladder.net.state_persister import StatePersister
@@ -85,12 +85,12 @@
 
         try:
             return StatePersister(self._conf, operator.store, self.loop.now())
-        except StoreUnavailableError as error:  # what it would have restored is lost, and nothing else
+        except StoreUnavailableError as error:  # only the stored state is lost; the proxy starts without it
             log_event("store_unavailable", error=error)
             return None
 
     def _start_dispatcher(self) -> None:
-        """Give the balancer its first list: the stored one and what goes with it, or the platform's."""
+        """Pass the balancer its first list: the stored one with the restored state, or the platform's."""
         if self._persister is None:
             self.dispatcher.start(self._registry.load_cached(self._conf.known))
             return
@@ -101,7 +101,7 @@
         self._persister.start(self.loop, self.dispatcher, self._registry)
 
     def _make_pool(self, endpoint: Endpoint, address: Address) -> ConnectionPool:
-        """A pool of connections to this server, in the protocol of its kind."""
+        """Create a connection pool for this server, with the protocol of its kind."""
         conf = self._conf
         protocol: UpstreamProtocol = self._cache_node_protocol
         if endpoint.server_kind == conf.origin_kind:
@@ -122,14 +122,16 @@
         self.loop.call_at(self.loop.now() + METRICS_INTERVAL_MS, self._log_metrics)
 
     def reload(self) -> None:
-        """Read the configuration file again and watch discovery at the address that it names. What else has
-        changed in it holds from the next start; with a file that cannot be used all stays as it is."""
+        """Read the configuration file again and watch discovery at the address that it names.
+
+        Other changes in the file take effect at the next start. A file that cannot be used changes nothing.
+        """
         self.loop.cancel(self._reload_timer)
         self._reload_timer = None
         self._load_again(MAX_RELOAD_RETRIES)
 
     def _load_again(self, retries: int) -> None:
-        """Reload. One that cannot read the file is repeated: discovery may leave its former address."""
+        """Reload. This is retried if the file cannot be read, as discovery may leave its former address."""
         try:
             reloaded = config.load(os.environ)
         except config.ConfigUnreadableError as error:
@@ -147,7 +149,7 @@
         self._registry.move_watch(reloaded.discovery_address)
 
     def stop(self) -> None:
-        """Begin the graceful shutdown; the loop stops once all is answered. A second call does nothing."""
+        """Start the graceful shutdown; the loop stops once all requests are answered. It starts only once."""
         if self._shutting_down:
             return
         self._shutting_down = True
@@ -156,7 +158,7 @@
         self._stop_when_idle()
 
     def _stop_when_idle(self) -> None:
-        """Stop the loop if nothing is left to answer, else look again in a while."""
+        """Stop the loop if no request remains to be answered, else check again later."""
         if not (self.dispatcher.is_idle and self.listener.is_finished):
             self.loop.call_at(self.loop.now() + SHUTDOWN_POLL_INTERVAL_MS, self._stop_when_idle)
             return
--- a/lupinladder/signals.py
+++ b/lupinladder/signals.py
@@ -1,4 +1,4 @@
-"""Signals to the process, handled on the event loop."""
+"""Handles the signals to the process on the event loop."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class SignalReceiver:
     """The signals that the process has received and not handled yet.
 
-    A handler may run anywhere, so it only notes the signal; the loop is woken through a socket. Notes cannot
-    be lost, as bytes could on a socket that a storm of signals has filled."""
+    A signal handler may run at any point of the program, so it only records the signal; the loop is woken
+    through a socket. The record is complete even if many signals have filled the socket's buffer."""
 
     def __init__(self) -> None:
         self._pending: set[int] = set()
@@ -29,11 +29,11 @@
 
     @property
     def is_stop_pending(self) -> bool:
-        """Whether a signal to shut down has been received and not handled."""
+        """Whether a signal to shut down has been received and not handled yet."""
         return bool(self._pending - {signal.SIGHUP})
 
     def attach(self, proxy: Proxy) -> None:
-        """Have the proxy's loop call the proxy for each signal, those noted before included."""
+        """Let the proxy's loop handle each signal, including those that were received before."""
         proxy.loop.watch(self._receiver, 0, READ, lambda _: self._on_wakeup(proxy))
 
     def _on_wakeup(self, proxy: Proxy) -> None:
--- a/lupinladder/simulator/__init__.py
+++ b/lupinladder/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The program that the simulator runs: the decisions behind its binary protocol."""
+"""The simulator adapter: the program that the simulator runs, a balancer behind its binary protocol."""
--- a/lupinladder/simulator/adapter.py
+++ b/lupinladder/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: speaks the simulator's wire on standard input and output and hosts the instances."""
+"""The simulator adapter: runs balancers and speaks the simulator's protocol on its standard streams."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 
 EXIT_BAD_INPUT = 2
 REMEMBERED_SERVERS = 8192
-# Hundreds of instances hold millions of objects that stay: a walk over all of them has to be rare.
+# Hundreds of instances hold millions of long-lived objects, so full garbage collections must be rare.
 GC_THRESHOLDS = (100_000, 20, 100)
 
 
 class InstanceHost:
-    """The instances of one process. They share nothing but the decoder of the wire."""
+    """The balancers of one process, by instance. They share the decoder and the cached hashes of servers."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         # All instances list the same servers, and the hashes of an id are the same in each.
         self._hash_series = lru_cache(REMEMBERED_SERVERS)(splitmix64_series)
-        self._instances: dict[int, Balancer | None] = {}  # None: it has sent its FAULT
+        self._instances: dict[int, Balancer | None] = {}  # None: its FAULT has been sent
 
     def handle_batch(self, body: bytes, now: float) -> bytes:
-        """The reply to one batch. Raises CodecError for a batch that cannot be read."""
+        """Return the reply to one batch. Raises CodecError for a batch that cannot be decoded."""
         records: list[bytes] = []
         for instance, message in self._decoder.decode(body):
             try:
                 actions = self._handle_message(instance, message, now)
                 records.extend(encode_action(instance, action) for action in actions)
-            except Exception as error:  # noqa: BLE001 - the boundary: whatever breaks an instance is its FAULT, and no other's
+            except Exception as error:  # noqa: BLE001 - the boundary: an error in one instance is its FAULT and does not affect others
                 self._instances[instance] = None
                 records.append(encode_fault(instance, f"{type(error).__name__}: {error}"))
         return encode_reply(records)
@@ -58,7 +58,7 @@
             return []
         balancer = self._instances.get(instance)
         if balancer is None or isinstance(message, PeerMessage):
-            return []  # killed, already declared broken, or nothing that the balancer reads
+            return []  # killed, already reported as broken, or not read by the balancer
         return balancer.handle(message, now)
 
     def _start_instance(self, instance: int, message: InstanceStarted, now: float) -> list[Action]:
@@ -71,7 +71,7 @@
 
 
 def _read_exactly(source: BinaryIO, size: int) -> bytes:
-    """This many bytes, or fewer where the input ends."""
+    """Read this many bytes, or fewer at the end of the input."""
     parts = []
     while size > 0:
         part = source.read(size)
@@ -83,7 +83,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer batches until the input ends. Returns the exit code."""
+    """Answer batches until the input ends; return the exit code."""
     host = InstanceHost()
     offset = 0
     while True:
--- a/lupinladder/simulator/codec.py
+++ b/lupinladder/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Decoder of the events on the simulator's wire (binary, little-endian). It decides nothing."""
+"""Decodes the events of the simulator's binary protocol (little-endian). It contains no decision logic."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 )
 from lupinladder.errors import LupinladderError
 
-HEADER = struct.Struct("<Id")  # of a batch: size of the body, time in ms
+HEADER = struct.Struct("<Id")  # of a batch: size of the body in bytes, time in ms
 
-# Events, without their leading code; the names are those of the wire's description.
+# Events without their leading codes; the names are those of the protocol's description.
 _DEFINE_LIST = struct.Struct("<HI")  # list number, count of entries
 _LIST_ENTRY = struct.Struct("<HHfdBB6s")  # zone, cell, weight, start, availability, kind, server
 _REMINDER = struct.Struct("<HI")  # instance, token
@@ -38,7 +38,7 @@
 _ENDPOINT_UPDATE = struct.Struct("<HBQH")  # instance, form, version, list number
 _UP = struct.Struct("<HQI")  # instance, seed, size of the settings
 _LEFT = struct.Struct("<HQ")  # instance, id
-_HEALTH_RESULT = struct.Struct("<H6sHdB")  # instance, server, outcome, latency, count of load figures
+_HEALTH_RESULT = struct.Struct("<H6sHdB")  # instance, server, outcome, latency, count of load values
 _LOAD_FIGURES = [struct.Struct(f"<{count}f") for count in range(256)]
 _LOAD_FIGURE_SIZE = 4
 
@@ -48,7 +48,7 @@
 _IS_WRITE = 4
 
 MAX_LISTS = 16  # list numbers run from 0 to 15
-TIMEOUT_BOUND_MS = 1e12  # a timeout beyond it is no time
+TIMEOUT_BOUND_MS = 1e12  # a timeout beyond this is invalid
 
 OUTCOMES = {
     200: Outcome.OK,
@@ -67,7 +67,7 @@
 
 
 class CodecError(LupinladderError):
-    """Input that the wire's description does not allow; the text names the event and its offset."""
+    """Input that violates the protocol; the text names the event and its offset."""
 
 
 @dataclass(slots=True)
@@ -85,14 +85,14 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message from another instance (the balancer sends none and reads none)."""
+    """A message from another instance. The balancer neither sends nor reads any."""
 
 
 Message = Event | InstanceStarted | InstanceKilled | PeerMessage
 
 
 class Decoded(NamedTuple):
-    """An event of a batch: its instance, the message (None: none is passed on) and where the next begins."""
+    """An event of a batch: its instance, its message (None: ignored) and the offset of the next event."""
 
     instance: int
     message: Message | None
@@ -100,17 +100,17 @@
 
 
 class EventReader(NamedTuple):
-    """An event's name on the wire, and what reads its fields from an offset of a batch."""
+    """The name of an event in the protocol, and the function that reads its fields at an offset."""
 
     name: str
     read: Callable[[bytes, int], Decoded]
 
 
 class Decoder:
-    """Reads batches. It holds the numbered lists, which belong to the process."""
+    """Decodes batches. It holds the numbered endpoint lists, which all instances of a process share."""
 
     def __init__(self) -> None:
-        self.class_counts: dict[int, int] = {}  # by instance: how many classes its settings name
+        self.class_counts: dict[int, int] = {}  # number of request classes in its settings, by instance
         self._lists: dict[int, list[Endpoint]] = {}
         self._readers = {
             0: EventReader("DEFINE_LIST", self._read_define_list),
@@ -127,9 +127,9 @@
         }
 
     def decode(self, body: bytes) -> Iterator[tuple[int, Message]]:
-        """The events of a batch, in order, each with its instance.
+        """Yield the events of a batch in order, each with its instance.
 
-        Raises CodecError for what the wire's description does not allow, with the event and its offset.
+        Raises CodecError for input that violates the protocol; it names the event and its offset.
         """
         offset = 0
         while offset < len(body):
--- a/lupinladder/simulator/encoder.py
+++ b/lupinladder/simulator/encoder.py
@@ -1,4 +1,4 @@
-"""Encoder of the actions on the simulator's wire (binary, little-endian). It decides nothing."""
+"""Encodes actions in the simulator's binary protocol (little-endian). It contains no decision logic."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     WatchEndpoints,
 )
 
-REPLY = struct.Struct("<II")  # size of the body, number of records
+REPLY = struct.Struct("<II")  # size of the body in bytes, number of records
 
-# Records: code, instance and fields.
-_START_ATTEMPT = struct.Struct("<BHQd6s")  # id, when the attempt is given up, server
+# Records: code, instance and the fields named here.
+_START_ATTEMPT = struct.Struct("<BHQd6s")  # id, expiry time, server
 _CANCEL_ATTEMPT = struct.Struct("<BHQB")  # id, attempt
-_REJECT = struct.Struct("<BHQd")  # id, how long to stay away
+_REJECT = struct.Struct("<BHQd")  # id, retry_after
 _FAIL = struct.Struct("<BHQ")  # id
 _SET_TIMER = struct.Struct("<BHdI")  # delay, token
 _WATCH_ENDPOINTS = struct.Struct("<BHB")  # 1: watch the list
 _TEXT = struct.Struct("<BHH")  # size of the text
 
-MAX_TEXT_SIZE = 0xFFFF  # bytes; its size has 16 bits
+MAX_TEXT_SIZE = 0xFFFF  # bytes; the size field has 16 bits
 
 
 class ActionCode(IntEnum):
-    """The codes of the records of a reply."""
+    """The codes of the records in a reply."""
 
     FAULT = 64
     CANCEL_ATTEMPT = 65
@@ -43,7 +43,7 @@
 
 
 def encode_action(instance: int, action: Action) -> bytes:
-    """One action as a record."""
+    """Encode one action as a record."""
     if isinstance(action, StartAttempt):
         return _START_ATTEMPT.pack(
             ActionCode.START_ATTEMPT, instance, action.request_id, action.expire_at, action.server
@@ -62,12 +62,12 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """The record that declares an instance's decisions broken."""
+    """Encode the record that reports an instance as broken."""
     return _encode_text(ActionCode.FAULT, instance, text)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Encode a whole reply frame."""
     body = b"".join(records)
     return REPLY.pack(len(body), len(records)) + body
 
--- a/lupinladder/startup.py
+++ b/lupinladder/startup.py
@@ -1,4 +1,4 @@
-"""A start that goes on when the system refuses a call for a moment: nothing is served yet, so it may wait."""
+"""Retries a step of the start that fails for a moment: nothing is served yet, so the start may wait."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from lupinladder.net.log import log_event
 from lupinladder.net.transient_errors import RETRIED_START_ERRORS, is_in
 
-RETRY_S = 0.1  # between two tries
-TIMEOUT_S = 8.0  # of all tries: a restarted proxy has to be ready within 10 s (standing test, "Pass or fail")
+RETRY_S = 0.1  # between two calls
+TIMEOUT_S = 8.0  # of all calls: a restarted proxy must be ready within 10 s (standing test, "Pass or fail")
 
 Made = TypeVar("Made")
 
 
 def retry_start(make: Callable[[], Made], is_cancelled: Callable[[], bool] = lambda: False) -> Made:
-    """What `make` returns, made again while it fails for want of resources or a taken address.
+    """Return what `make` returns, calling it again while resources are short or an address is in use.
 
-    Raises the OSError of the last try when that lasts too long, when `is_cancelled`, and at once for an error
-    that waiting does not help.
+    Raises the OSError of the last call after `TIMEOUT_S` or when `is_cancelled` returns true, and any other
+    OSError at once.
     """
     give_up_at = time.monotonic() + TIMEOUT_S
     while True:
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -16,11 +16,13 @@
         loop.call_at(now - 2, lambda: fired.append("first"))
         cancelled = loop.call_at(now - 3, lambda: fired.append("never"))
         loop.call_at(now - 0.5, lambda: loop.cancel(late))
-        late = loop.call_at(now - 0.4, lambda: fired.append("cancelled in the same turn"))
-        loop.call_at(now - 0.3, lambda: loop.call_at(now - 9, lambda: fired.append("next turn")) and None)
+        late = loop.call_at(now - 0.4, lambda: fired.append("cancelled in the same iteration"))
+        loop.call_at(
+            now - 0.3, lambda: loop.call_at(now - 9, lambda: fired.append("next iteration")) and None
+        )
         loop.cancel(cancelled)
         loop.cancel(cancelled)
         loop.run_once()
         self.assertEqual(fired, ["first", "second"])
         loop.run_once()
-        self.assertEqual(fired, ["first", "second", "next turn"])
+        self.assertEqual(fired, ["first", "second", "next iteration"])
--- a/tests/net/test_event_loop_turns.py
+++ b/tests/net/test_event_loop_turns.py
@@ -1,4 +1,4 @@
-"""What one turn of the event loop does at most, and in which order it goes on."""
+"""The work that one iteration of the event loop does at most, and the order of the remaining work."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from lupinladder.net.event_loop import LATE_TURN_MS, PHASE_TIME_MS, EventLoop, WatchRank
 from lupinladder.net.metrics import metrics
 
-CALL_MS = 2.0  # what each callback takes
+CALL_MS = 2.0  # duration of each callback
 CALLS = 7
-CALLS_IN_A_PHASE = 3  # of 2 ms each, within 5 ms and one more
+CALLS_IN_A_PHASE = 3  # of 2 ms each: those that start within 5 ms
 
 
 class Turns(unittest.TestCase):
-    """A loop on a clock that moves by callbacks alone."""
+    """A loop whose clock is only advanced by its callbacks."""
 
     def setUp(self) -> None:
         self.loop = EventLoop()
@@ -29,7 +29,7 @@
         self.done = list[str]()
 
     def call(self, name: str) -> Callable[..., None]:
-        """A callback that takes its time and notes its name."""
+        """Return a callback that takes `CALL_MS` and records its name."""
 
         def work(*_: object) -> None:
             self.clock += CALL_MS
@@ -38,7 +38,7 @@
         return work
 
     def ready_socket(self, name: str, rank: WatchRank = WatchRank.OTHER) -> socket.socket:
-        """A socket that stays ready until the test reads from it."""
+        """Watch a socket that is ready to be read once; return its peer."""
         near, far = socket.socketpair()
         self.addCleanup(near.close)
         self.addCleanup(far.close)
@@ -53,7 +53,7 @@
         return far
 
     def turn(self) -> list[str]:
-        """What one turn does."""
+        """Run one iteration; return the names of the callbacks that it ran."""
         self.done.clear()
         self.loop.run_once()
         return list(self.done)
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant is counted when it is broken, and only then."""
+"""Each invariant is counted if and only if it is violated."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def request_of(name: str) -> PendingRequest:
-    """A request of this class, received at 0 ms with 600 ms to go."""
+    """Return a request of this class, received at 0 ms with a timeout of 600 ms."""
     command = parse_command([b"OBJ.GET", b"1f", b"a", b"c=%b,d=600" % name.encode()], CLASSES)
     return PendingRequest(1, command, 600.0, None)
 
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Requests and attempts between the sockets and the balancer."""
+"""Requests and attempts in the dispatcher, between sockets and a scripted balancer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         refs = list[weakref.ref[Any]]()
         gc.disable()
         self.addCleanup(gc.enable)
-        for case in ("answered", "broken by the node", "left by the client"):
+        for case in ("answered", "reset by the node", "client disconnected"):
             client = self.client(get())
             self.until(lambda: any(peer.got for peer in self.node.peers), "a request")
             [node] = [peer for peer in self.node.peers if peer.got]
@@ -28,17 +28,17 @@
             [attempt] = request.attempts
             [upstream] = list(self.links[NODE]._busy)
             refs += map(weakref.ref, (connection, connection.conn, request, attempt))
-            if case == "broken by the node":
+            if case == "reset by the node":
                 refs += map(weakref.ref, (upstream, upstream.connection))
-            if case == "left by the client":
+            if case == "client disconnected":
                 client.reset()
-                self.until(lambda: not self.front.clients, "its leaving")
+                self.until(lambda: not self.front.clients, "the client's disconnect")
                 self.engine._give_up(attempt, Outcome.TIMEOUT)
             else:
-                node.reset() if case == "broken by the node" else node.conn.send(SERVED)
+                node.reset() if case == "reset by the node" else node.conn.send(SERVED)
                 self.until(lambda: client.got, "an answer")  # noqa: B023
                 client.conn.close_gracefully()
-                self.until(lambda: not client.conn.is_open, "our end")  # noqa: B023
+                self.until(lambda: not client.conn.is_open, "the close of the connection")  # noqa: B023
             del connection, request, attempt, upstream
         self.front.await_closing(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
         self.assertEqual(len(self.front.closing_connections), 1)
@@ -79,7 +79,7 @@
             [StartAttempt(event.request_id, NODE, 1.0)] if isinstance(event, RequestReceived) else []
         )
         self.ask()
-        self.until(lambda: len(self.script.ends()) == 2, "an end at once")
+        self.until(lambda: len(self.script.ends()) == 2, "the immediate end")
         self.assertLess(self.loop.now() - started_at, 800)
 
 
@@ -108,5 +108,5 @@
 
         self.script.react = fail_after_first
         handler = self.ask(60)
-        self.until(lambda: handler.told, "the guard timer")
+        self.until(lambda: handler.told, "the timer of the request")
         self.assertEqual(handler.told, ["failed"])
--- a/tests/net/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Times of a wall clock that is stepped."""
+"""Conversion of wall-clock times while the wall clock is stepped."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
         for name, steps, listed, age in (
             ("no step", [], NOW - 700, 700),
             ("a small difference is no step", [(100.0, NOW - 50)], NOW - 700, 700),
-            ("ahead of the clock", [], NOW + 700, 0),
+            ("in the future", [], NOW + 700, 0),
             ("after a step back", hour_back, NOW - HOUR_MS - 700, 700),
             ("before a step back", hour_back, NOW - 11_000, 11_000),
             ("after a step forward", [(HOUR_MS, NOW - 10_000)], NOW + HOUR_MS - 700, 700),
             ("before a step forward", [(HOUR_MS, NOW - 10_000)], NOW - 11_000, 11_000),
             ("between two steps", there_and_back, NOW - HOUR_MS - 7000, 7000),
-            ("before them", there_and_back, NOW - 20_000, 20_000),
+            ("before both steps", there_and_back, NOW - 20_000, 20_000),
             ("long after a step", [(-5000.0, NOW - LONG_AGO_MS)], NOW - 5700, 700),
         ):
             with self.subTest(name):
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, at the level of frames, as the command of deploy/balancer.toml runs it."""
+"""Frames to and from the simulator adapter, run by the command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: the documents' example frames, round trips and malformed input."""
+"""The codec: example frames of the protocol's description, round trips and malformed input."""
 
 from __future__ import annotations
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -20,10 +20,10 @@
         )
         for now, request_class, timeout, allowed in (
             (1000, 0, 600, 600),
-            (1000, 1, 5000, 3500),  # cut to the time that is left
+            (1000, 1, 5000, 3500),  # limited to the remaining time
             (2000, 1, 5000, 2500),
-            (2001, 1, 5000, 0),  # less time is left than its latency objective
-            (2001, 1, 400, 400),  # its client waits for less than that objective
+            (2001, 1, 5000, 0),  # the remaining time is less than its latency objective
+            (2001, 1, 400, 400),  # its client's timeout is less than that objective
             (4200, 0, 600, 300),
             (4201, 0, 600, 0),
         ):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The whole proxy as a process: start, reload and shutdown."""
+"""The proxy as a process: start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.support.network_scene import SERVED, NetworkScene, RecordingListener, RecordingPeer, get
 from tests.support.proxy_process import END_TIMEOUT_S, PING, ROOT, ProxyProcess
 
-# What the platform's start does without: the command line, the emulator and what an operator may switch on.
+# Not imported when the platform starts the proxy: the command line, the emulator and operator's features.
 OPTIONAL_MODULES = (
     "click",
     "msgspec",
@@ -106,7 +106,7 @@
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         size = fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
-        os.write(writer, b"x" * size)  # the next byte blocks whoever writes it
+        os.write(writer, b"x" * size)  # writing one more byte blocks
         with self.start({"GW_CONFIG": str(self.config_path)}, stderr=writer) as process:
             os.close(writer)
             self.address = parse_address(conf["listen"])
@@ -116,7 +116,7 @@
         self.assertEqual(process.returncode, 0)
 
     def until_served(self) -> None:
-        """Connect again and again until a PING is answered."""
+        """Connect repeatedly until a PING is answered."""
         clients = list[RecordingPeer]()
 
         def is_served() -> bool:
@@ -201,10 +201,10 @@
         text = json.dumps({**draining, "index": 9, "snapshot": False}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         watch.conn.send(head + b"%x\r\n%b\r\n" % (len(text), text))
-        self.until(lambda: self.is_rejected(), "nothing sent to the node that leaves")
+        self.until(lambda: self.is_rejected(), "a rejection while the only node is draining")
 
     def is_rejected(self) -> bool:
-        """Whether a request is rejected, as no node may be sent one."""
+        """Whether a request is rejected, as no node may receive it."""
         client = self.client(get(wait=100))
         self.until(lambda: client.got, "an answer")
         client.conn.close()
@@ -220,11 +220,11 @@
             node = self.at_node()
             process.send_signal(signal.SIGTERM)
             late = self.client(PING)
-            self.answers(late, b"+PONG\r\n")  # still accepting
+            self.answers(late, b"+PONG\r\n")  # it still accepts connections
             self.until(lambda: idle.ends and late.ends, "idle connections to end")
             self.assertEqual((idle.ends, client.ends), ([True], []))
             node.conn.send(SERVED)
-            self.until(lambda: client.ends, "the last answer")
+            self.until(lambda: client.ends, "the last answer and the close")
             self.assertEqual((client.got, client.ends), (b"$1\r\nV\r\n", [True]))
             for peer in (client, idle, late):
                 peer.conn.close()
@@ -233,7 +233,7 @@
 
     def test_a_stop_before_the_first_list_and_a_reload_after_it_answer_and_end_with_0(self) -> None:
         conf = self.configuration()
-        with socket.create_server(("127.0.0.1", 0)) as unanswering:  # it accepts and says nothing
+        with socket.create_server(("127.0.0.1", 0)) as unanswering:  # it accepts but never replies
             conf["discovery"] = f"127.0.0.1:{unanswering.getsockname()[1]}"
             conf["settings"]["membership-mode"] = "push"
             with self.start_listening(conf) as process:
@@ -252,7 +252,7 @@
         conf = self.configuration()
         conf["settings"]["n-instances"] = 1
         conf["settings"]["membership-mode"] = "push"
-        with self.start_listening(conf) as process:  # nobody listens at the address of discovery
+        with self.start_listening(conf) as process:  # no process listens at discovery's address
             client = self.client(PING)
             self.answers(client, b"+PONG\r\n")
             process.send_signal(signal.SIGTERM)
