--- a/lupinladder/__main__.py
+++ b/lupinladder/__main__.py
@@ -9,7 +9,7 @@
 from lupinladder.net import config
 from lupinladder.net.client_listener import open_listening_socket
 from lupinladder.net.event_loop import EventLoop
-from lupinladder.net.log import log_event, unblock_output
+from lupinladder.net.log import log_event, set_output_nonblocking
 from lupinladder.net.metrics import metrics
 from lupinladder.proxy import Proxy
 from lupinladder.signals import SignalReceiver
@@ -25,17 +25,17 @@
 
 def main() -> int:
     """Run one proxy until it is stopped; return the exit code of the process."""
-    unblock_output()
+    set_output_nonblocking()
     try:
         signals = retry_start(SignalReceiver)  # first, as SIGHUP ends a process without a handler
-        conf = retry_start(lambda: config.load(os.environ), lambda: signals.is_stop_pending)
+        proxy_config = retry_start(lambda: config.load(os.environ), lambda: signals.is_stop_pending)
         operator = config.load_operator_settings(os.environ)
         # These may fail for a moment. The proxy is created only once: it calls discovery and opens the store.
         loop = retry_start(EventLoop)
         listening_socket = retry_start(
-            lambda: open_listening_socket(conf.listen_address), lambda: signals.is_stop_pending
+            lambda: open_listening_socket(proxy_config.listen_address), lambda: signals.is_stop_pending
         )
-        proxy = Proxy(conf, loop, listening_socket, operator)
+        proxy = Proxy(proxy_config, loop, listening_socket, operator)
     except (config.ConfigError, OSError) as error:
         print(f"lupinladder: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
--- a/lupinladder/graceful_shutdown.py
+++ b/lupinladder/graceful_shutdown.py
@@ -26,9 +26,11 @@
     """The times of one shutdown, computed when the signal arrives."""
 
     def __init__(self, settings: Settings, now: float) -> None:
-        longest_deadline = max(one.deadline for one in settings.classes)
+        longest_deadline = max(request_class.deadline for request_class in settings.classes)
         self._max_retry_after = settings.max_retry_after
-        self._required_times = [min(one.latency_objective, one.deadline) for one in settings.classes]
+        self._required_times = [
+            min(request_class.latency_objective, request_class.deadline) for request_class in settings.classes
+        ]
         self.killed_at = now + min(longest_deadline, MAX_STOP_TIME_MS) + STOP_SLACK_MS
         self.accept_until = now + ACCEPT_PERIOD_MS  # no new connections are accepted after this
         self.answer_by = self.killed_at - ANSWER_MARGIN_MS  # all requests are answered by then
--- a/lupinladder/net/event_loop.py
+++ b/lupinladder/net/event_loop.py
@@ -27,14 +27,14 @@
 # Maximum time in ms that an iteration spends on each of sockets, timers and deferred calls; the callback
 # that is running at its end is completed. The remaining ones come first in the next iteration, so that none
 # of the three waits until all of the others' work is done.
-PHASE_TIME_MS = 5.0
+MAX_PHASE_TIME_MS = 5.0
 
 
 class Timer(NamedTuple):
     """A callback and its due time. Timers sort by due time, then by the order in which they were set."""
 
-    when: float  # ms on the loop's clock
-    number: int  # unique, so that a comparison never reaches the callback
+    due_at: float  # ms on the loop's clock
+    sequence_number: int  # unique, so that a comparison never reaches the callback
     callback: Callable[[], object]
 
 
@@ -63,12 +63,12 @@
         self.wall_clock = WallClock()
         self._clock_offset_ms = (time.time() - time.monotonic()) * 1000
         self._timers: list[Timer] = []  # sorted
-        self._soon: deque[Callable[[], object]] = deque()
-        self._last_timer_number = 0
+        self._deferred_calls: deque[Callable[[], object]] = deque()
+        self._last_sequence_number = 0
         self._running = True
-        self._list_watchers = 0  # number of sockets of the first rank; with none there is little to sort
+        self._endpoint_list_socket_count = 0  # most iterations need no sorting without one
         self._selected_at = self.now()
-        self._postponed: set[int] = set()  # descriptors that were ready and wait for the next iteration
+        self._postponed_descriptors: set[int] = set()  # they were ready and wait for the next iteration
         self._postponed_since = self._selected_at  # the earliest time at which one may have become ready
         # Maximum time in ms for which bytes read in this iteration may have been waiting when it started.
         self.unread_time = 0.0
@@ -79,10 +79,10 @@
         """Return the loop's time in ms: Unix time at its start, monotonic since then."""
         return time.monotonic() * 1000 + self._clock_offset_ms
 
-    def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
+    def call_at(self, due_at: float, callback: Callable[[], object]) -> Timer:
         """Call `callback` at this time, in ms; the returned timer can be passed to `cancel`."""
-        self._last_timer_number += 1
-        timer = Timer(when, self._last_timer_number, callback)
+        self._last_sequence_number += 1
+        timer = Timer(due_at, self._last_sequence_number, callback)
         insort(self._timers, timer)
         return timer
 
@@ -90,40 +90,40 @@
         """Cancel a timer. None and a timer that has already fired are accepted."""
         if timer is None:
             return
-        place = bisect_left(self._timers, timer)
-        if place < len(self._timers) and self._timers[place] is timer:
-            del self._timers[place]
+        index = bisect_left(self._timers, timer)
+        if index < len(self._timers) and self._timers[index] is timer:
+            del self._timers[index]
 
     def call_soon(self, callback: Callable[[], object]) -> None:
         """Call after the callbacks that are running now, so that none is entered from within another."""
-        self._soon.append(callback)
+        self._deferred_calls.append(callback)
 
     def watch(
         self,
         sock: socket.socket,
-        old: int,
-        new: int,
-        ready: Callable[[int], None],
+        old_events: int,
+        new_events: int,
+        on_ready: Callable[[int], None],
         rank: WatchRank = WatchRank.OTHER,
     ) -> None:
         """Change the events that a socket is watched for: bits of selectors.EVENT_READ and EVENT_WRITE.
 
-        `ready` is called with the bits of the events that have occurred. Endpoint lists are handled first:
+        `on_ready` is called with the bits of the events that have occurred. Endpoint lists are handled first:
         otherwise a process that was suspended would send the requests that have arrived meanwhile by its old
         list, while the new one lies unread.
 
         Raises OSError if the system has no memory to watch one more socket.
         """
-        if old == new:
+        if old_events == new_events:
             return
-        if not old:
-            self._selector.register(sock, new, Watcher(ready, rank))
-            self._list_watchers += rank is WatchRank.ENDPOINT_LIST
-        elif new:
-            self._selector.modify(sock, new, Watcher(ready, rank))
+        if not old_events:
+            self._selector.register(sock, new_events, Watcher(on_ready, rank))
+            self._endpoint_list_socket_count += rank is WatchRank.ENDPOINT_LIST
+        elif new_events:
+            self._selector.modify(sock, new_events, Watcher(on_ready, rank))
         else:
             self._selector.unregister(sock)
-            self._list_watchers -= rank is WatchRank.ENDPOINT_LIST
+            self._endpoint_list_socket_count -= rank is WatchRank.ENDPOINT_LIST
 
     @property
     def is_late(self) -> bool:
@@ -138,86 +138,90 @@
 
     def run_once(self) -> None:
         """Run one iteration: wait for a socket or a timer, then handle everything that is due."""
-        asked_at = self.now()
+        wait_started_at = self.now()
         if self._turn is not None:
-            self._turn_monitor.record(self._turn, asked_at)
-        wait = self._time_until_next(asked_at)
-        ready = self._selector.select(None if wait == inf else wait / 1000)
+            self._turn_monitor.record(self._turn, wait_started_at)
+        max_wait = self._time_until_next(wait_started_at)
+        ready = self._selector.select(None if max_wait == inf else max_wait / 1000)
         started_at = self.now()
         self.wall_clock.observe(time.time() * 1000, started_at)
-        overrun = max(started_at - asked_at - wait, 0.0)
+        overrun = max(started_at - wait_started_at - max_wait, 0.0)
         # A socket that is ready now became ready after the previous wait ended. The time of this wait does
         # not count, as a ready socket ends it; the time by which it was overrun does.
-        if not self._postponed:
+        if not self._postponed_descriptors:
             self._postponed_since = self._selected_at
-        self.unread_time = asked_at - self._postponed_since + overrun
+        self.unread_time = wait_started_at - self._postponed_since + overrun
         self._selected_at = started_at
         if overrun > STALL_THRESHOLD_MS or self.is_late:
             # The process was stalled: more sockets are ready by now than those that ended the wait.
             ready = self._selector.select(0)
-        self._turn = TurnRecord(started_at, sockets=len(ready), deferred=len(self._soon))
-        self._run_ready(ready)
+        self._turn = TurnRecord(started_at, sockets=len(ready), deferred=len(self._deferred_calls))
+        self._handle_ready_sockets(ready)
         self._turn.timers_began_at = self.now()
         self._turn.timers = self._run_due_timers(self._turn.timers_began_at)
         self._turn.deferred_began_at = self.now()
-        self._run_deferred(self._turn.deferred_began_at)
+        self._run_deferred_calls(self._turn.deferred_began_at)
 
     def _time_until_next(self, now: float) -> float:
         """Return how long an iteration may wait for sockets, in ms: at most until the first timer is due."""
-        if self._soon:
+        if self._deferred_calls:
             return 0.0
         if self._timers:
-            return max(self._timers[0].when - now, 0.0)
+            return max(self._timers[0].due_at - now, 0.0)
         return inf
 
-    def _run_ready(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
-        """Run the callbacks of ready sockets for at most `PHASE_TIME_MS`, by rank where it matters.
+    def _handle_ready_sockets(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
+        """Run the callbacks of ready sockets for at most `MAX_PHASE_TIME_MS`, by rank where it matters.
 
         A late iteration handles all of them: a disconnect among them may have been unread for long.
         """
         if len(ready) > 1:
             if self.is_late:
                 ready.sort(key=lambda pair: pair[0].data.rank)
-            elif self._list_watchers or self._postponed:
-                ready.sort(key=self._place_in_turn)
-        self._postponed = set()
-        stop_at = self._selected_at + PHASE_TIME_MS
-        for place, (key, mask) in enumerate(ready):
-            if place and not self.is_late and self.now() >= stop_at:
-                self._postponed = {left.fd for left, _ in ready[place:]}
+            elif self._endpoint_list_socket_count or self._postponed_descriptors:
+                ready.sort(key=self._handling_order)
+        self._postponed_descriptors = set()
+        stop_at = self._selected_at + MAX_PHASE_TIME_MS
+        for index, (key, mask) in enumerate(ready):
+            if index and not self.is_late and self.now() >= stop_at:
+                self._postponed_descriptors = {remaining_key.fd for remaining_key, _ in ready[index:]}
                 return
             # An earlier callback may have closed this socket, and its descriptor may be in use again.
             if self._selector.get_map().get(key.fd) is key:
-                self._run(partial(key.data.ready, mask))
+                self._run_callback(partial(key.data.ready, mask))
 
-    def _place_in_turn(self, ready: tuple[selectors.SelectorKey, int]) -> tuple[bool, bool]:
+    def _handling_order(self, ready: tuple[selectors.SelectorKey, int]) -> tuple[bool, bool]:
         """Sort key: endpoint lists first, then the sockets that the previous iteration postponed."""
         key, _ = ready
-        return key.data.rank is not WatchRank.ENDPOINT_LIST, key.fd not in self._postponed
+        return key.data.rank is not WatchRank.ENDPOINT_LIST, key.fd not in self._postponed_descriptors
 
     def _run_due_timers(self, now: float) -> int:
-        """Run the callbacks of due timers for at most `PHASE_TIME_MS`; return how many were run.
+        """Run the callbacks of due timers for at most `MAX_PHASE_TIME_MS`; return how many were run.
 
         Timers that a callback adds wait for the next iteration, or timers in the past would starve the
         sockets.
         """
-        last_number = self._last_timer_number
-        fired = 0
-        while self._timers and self._timers[0].when <= now and self._timers[0].number <= last_number:
-            if fired and self.now() >= now + PHASE_TIME_MS:
+        last_sequence_number = self._last_sequence_number
+        fired_count = 0
+        while (
+            self._timers
+            and self._timers[0].due_at <= now
+            and self._timers[0].sequence_number <= last_sequence_number
+        ):
+            if fired_count and self.now() >= now + MAX_PHASE_TIME_MS:
                 break
-            self._run(self._timers.pop(0).callback)
-            fired += 1
-        return fired
-
-    def _run_deferred(self, now: float) -> None:
-        """Run deferred calls for at most `PHASE_TIME_MS`."""
-        for place in range(len(self._soon)):
-            if place and self.now() >= now + PHASE_TIME_MS:
+            self._run_callback(self._timers.pop(0).callback)
+            fired_count += 1
+        return fired_count
+
+    def _run_deferred_calls(self, now: float) -> None:
+        """Run deferred calls for at most `MAX_PHASE_TIME_MS`."""
+        for index in range(len(self._deferred_calls)):
+            if index and self.now() >= now + MAX_PHASE_TIME_MS:
                 break
-            self._run(self._soon.popleft())
+            self._run_callback(self._deferred_calls.popleft())
 
-    def _run(self, callback: Callable[[], object]) -> None:
+    def _run_callback(self, callback: Callable[[], object]) -> None:
         try:
             callback()
         except Exception:  # noqa: BLE001 - the boundary: an error in one callback must not stop the others
--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -16,9 +16,11 @@
 from lupinladder.net.pending_request import Attempt, PendingRequest
 
 LIMIT_SLACK_MS = 50.0  # that the rules on sockets add to each time limit (PROTOCOL)
-CLIENT_LEFT_SLACK_MS = 100.0  # after a client's disconnect, in which an attempt may still start
+CLIENT_DISCONNECT_SLACK_MS = 100.0  # in which an attempt may still start
 DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may be too long
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS})
+NOT_EXECUTED_OUTCOMES = frozenset(
+    {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS}
+)
 
 
 class Invariant(StrEnum):
@@ -26,13 +28,13 @@
 
     ANSWERED_ONCE = "answered_once"
     ANSWERED_IN_TIME = "answered_in_time"
-    REJECTED_TRULY = "rejected_truly"  # only if a retry does no harm, as a rejection promises
+    REJECTED_ONLY_IF_RETRY_SAFE = "rejected_truly"  # as a rejection promises
     NOT_SENT_AFTER_ANSWER = "not_sent_after_answer"
-    NOT_SENT_AFTER_CLIENT_LEFT = "not_sent_after_client_left"
+    NOT_SENT_AFTER_CLIENT_DISCONNECT = "not_sent_after_client_left"
     NOT_SENT_TO_LEAVING_SERVER = "not_sent_to_leaving_server"
     ONE_ATTEMPT_AT_A_TIME = "one_attempt_at_a_time"
-    REPEATED_AS_PERMITTED = "repeated_as_permitted"
-    DEADLINE_TOLD_TRULY = "deadline_told_truly"
+    RETRIED_AS_PERMITTED = "repeated_as_permitted"
+    FORWARDED_DEADLINE_NOT_TOO_LONG = "deadline_told_truly"
     CLOSED_OWING_NOTHING = "closed_owing_nothing"
 
 
@@ -61,27 +63,31 @@
         """
         request = attempt.request
         if request.client_left_at is not None:
-            if now > request.client_left_at + CLIENT_LEFT_SLACK_MS:
-                report_violation(Invariant.NOT_SENT_AFTER_CLIENT_LEFT, request, attempt=attempt.number)
+            if now > request.client_left_at + CLIENT_DISCONNECT_SLACK_MS:
+                report_violation(Invariant.NOT_SENT_AFTER_CLIENT_DISCONNECT, request, attempt=attempt.number)
         elif request.finished:
             report_violation(Invariant.NOT_SENT_AFTER_ANSWER, request, attempt=attempt.number)
         if leaving_since is not None and now > leaving_since + self._settings.drain_grace_period:
             report_violation(Invariant.NOT_SENT_TO_LEAVING_SERVER, request, attempt=attempt.number)
         if told_deadline > request.deadline - now + DEADLINE_SLACK_MS:
-            report_violation(Invariant.DEADLINE_TOLD_TRULY, request, told=round(told_deadline))
+            report_violation(Invariant.FORWARDED_DEADLINE_NOT_TOO_LONG, request, told=round(told_deadline))
         if len(request.attempts) > 1:
-            self._check_repeat(attempt, now)
+            self._check_retry(attempt, now)
 
-    def _check_repeat(self, attempt: Attempt, now: float) -> None:
+    def _check_retry(self, attempt: Attempt, now: float) -> None:
         request = attempt.request
-        earlier = [one for one in request.attempts if one is not attempt and one.sent_at is not None]
-        if not self._settings.may_duplicate and any(one.outcome is None for one in earlier):
+        earlier_attempts = [
+            other for other in request.attempts if other is not attempt and other.sent_at is not None
+        ]
+        if not self._settings.may_duplicate and any(other.outcome is None for other in earlier_attempts):
             report_violation(Invariant.ONE_ATTEMPT_AT_A_TIME, request, attempt=attempt.number)
-        executed = [
-            one.sent_at for one in earlier if one.outcome not in NEVER_RAN and one.sent_at is not None
+        executed_send_times = [
+            other.sent_at
+            for other in earlier_attempts
+            if other.outcome not in NOT_EXECUTED_OUTCOMES and other.sent_at is not None
         ]
-        if executed and not _may_repeat(self._class_of(request), now - min(executed)):
-            report_violation(Invariant.REPEATED_AS_PERMITTED, request, attempt=attempt.number)
+        if executed_send_times and not _may_retry(self._class_of(request), now - min(executed_send_times)):
+            report_violation(Invariant.RETRIED_AS_PERMITTED, request, attempt=attempt.number)
 
     def check_answer(self, request: PendingRequest, is_rejection: bool, now: float) -> None:
         """Check a final answer that is about to be given to a connected client."""
@@ -90,13 +96,13 @@
         if now > request.deadline + LIMIT_SLACK_MS:
             report_violation(Invariant.ANSWERED_IN_TIME, request, late=round(now - request.deadline))
         if is_rejection and not _may_reject(self._class_of(request), request):
-            report_violation(Invariant.REJECTED_TRULY, request)
+            report_violation(Invariant.REJECTED_ONLY_IF_RETRY_SAFE, request)
 
     def _class_of(self, request: PendingRequest) -> RequestClass:
         return self._settings.classes[request.command.request_class]
 
 
-def _may_repeat(request_class: RequestClass, since_first_send: float) -> bool:
+def _may_retry(request_class: RequestClass, since_first_send: float) -> bool:
     """Whether the class allows a retry, so many ms after the first send that may have been executed."""
     if request_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
         return since_first_send < request_class.deduplication_window + LIMIT_SLACK_MS
@@ -107,7 +113,10 @@
     safety = request_class.retry_safety
     if safety is RetrySafety.IDEMPOTENT:
         return True
-    if not any(one.sent_at is not None and one.outcome not in NEVER_RAN for one in request.attempts):
+    if not any(
+        attempt.sent_at is not None and attempt.outcome not in NOT_EXECUTED_OUTCOMES
+        for attempt in request.attempts
+    ):
         return True
-    everywhere = request_class.deduplication_scope is DeduplicationScope.ALL
-    return safety is RetrySafety.IDEMPOTENCY_KEY and everywhere
+    deduplicated_everywhere = request_class.deduplication_scope is DeduplicationScope.ALL
+    return safety is RetrySafety.IDEMPOTENCY_KEY and deduplicated_everywhere
--- a/lupinladder/net/log.py
+++ b/lupinladder/net/log.py
@@ -48,7 +48,7 @@
         print(f"lupinladder: {line}", file=sys.stderr, flush=True)
 
 
-def unblock_output() -> None:
+def set_output_nonblocking() -> None:
     """Drop lines that a full pipe does not take at once: a reader that hangs must not block the loop."""
     with suppress(OSError, ValueError):  # standard error is missing or has no descriptor
         descriptor = sys.stderr.fileno()
--- a/lupinladder/net/open_requests.py
+++ b/lupinladder/net/open_requests.py
@@ -12,28 +12,28 @@
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
-        self._by_number: dict[int, PendingRequest] = {}
-        self._last_number = 0
+        self._by_id: dict[int, PendingRequest] = {}
+        self._last_id = 0
 
     def __len__(self) -> int:
-        return len(self._by_number)
+        return len(self._by_id)
 
-    def next_number(self) -> int:
+    def next_id(self) -> int:
         """Return the id of the next request."""
-        self._last_number += 1
-        return self._last_number
+        self._last_id += 1
+        return self._last_id
 
     def add(self, request: PendingRequest) -> None:
         """Add a request that was received."""
-        self._by_number[request.request_id] = request
+        self._by_id[request.request_id] = request
 
-    def get(self, number: int) -> PendingRequest | None:
+    def get(self, request_id: int) -> PendingRequest | None:
         """Return the request with this id, or None if it is no longer open."""
-        return self._by_number.get(number)
+        return self._by_id.get(request_id)
 
     def unfinished(self) -> list[PendingRequest]:
         """Return the requests that wait for their final answers."""
-        return [request for request in self._by_number.values() if not request.finished]
+        return [request for request in self._by_id.values() if not request.finished]
 
     def finish(self, request: PendingRequest) -> ResponseHandler:
         """Mark a request as finished and return its handler. May be called once for each request."""
@@ -41,17 +41,17 @@
         assert handler, "the request is finished already"
         request.handler = None
         request.finished = True
-        self._loop.cancel(request.guard_timer)
-        request.guard_timer = None
-        self.forget_if_over(request)
+        self._loop.cancel(request.overdue_timer)
+        request.overdue_timer = None
+        self.remove_if_complete(request)
         return handler
 
-    def forget_if_over(self, request: PendingRequest) -> None:
+    def remove_if_complete(self, request: PendingRequest) -> None:
         """Remove a finished request whose attempts have all ended.
 
         The reference cycle between it and its attempts is broken here, so that it is freed at once: the
         garbage collector runs rarely, and until then each request would hold some KiB.
         """
         if request.finished and all(attempt.finished for attempt in request.attempts):
-            self._by_number.pop(request.request_id, None)
+            self._by_id.pop(request.request_id, None)
             request.attempts.clear()
--- a/lupinladder/net/pending_request.py
+++ b/lupinladder/net/pending_request.py
@@ -52,7 +52,7 @@
     finished: bool = False  # it has its final answer, or its client has disconnected
     client_left_at: float | None = None
     received_at: float = 0.0
-    guard_timer: Timer | None = None  # fails the request if it has no answer shortly after its deadline
+    overdue_timer: Timer | None = None  # fails the request if it has no answer shortly after its deadline
 
     def history(self) -> RequestHistory:
         """Return the request's attempts so far, for the log."""
@@ -71,14 +71,16 @@
         self._id = request.command.request_id
 
     def __str__(self) -> str:
-        return ",".join([self._id.decode("latin-1"), *(self._describe(one) for one in self._attempts)])
+        return ",".join(
+            [self._id.decode("latin-1"), *(self._describe(attempt) for attempt in self._attempts)]
+        )
 
     def _describe(self, attempt: Attempt) -> str:
-        sent = "unsent" if attempt.sent_at is None else f"sent@{attempt.sent_at - self._received_at:.0f}"
-        ended = "out" if attempt.outcome is None else f"{attempt.outcome.name.lower()}"
+        sent_text = "unsent" if attempt.sent_at is None else f"sent@{attempt.sent_at - self._received_at:.0f}"
+        outcome_text = "out" if attempt.outcome is None else f"{attempt.outcome.name.lower()}"
         if attempt.ended_at is not None:
-            ended += f"@{attempt.ended_at - self._received_at:.0f}"
-        return f"{attempt.number}:{attempt.server.decode('latin-1')}:{sent}:{ended}"
+            outcome_text += f"@{attempt.ended_at - self._received_at:.0f}"
+        return f"{attempt.number}:{attempt.server.decode('latin-1')}:{sent_text}:{outcome_text}"
 
 
 @dataclass(slots=True, eq=False, weakref_slot=True)
--- a/lupinladder/net/request_dispatcher.py
+++ b/lupinladder/net/request_dispatcher.py
@@ -54,8 +54,8 @@
 class RequestDispatcher:
     """Holds the balancer and the open requests, and carries out the balancer's actions.
 
-    `route` returns the executor for a server; `watch_endpoints` asks discovery for changes of the endpoint
-    list. All times are ms on the loop's clock.
+    `find_executor` returns the executor for a server; `watch_endpoints` asks discovery for changes of the
+    endpoint list. All times are ms on the loop's clock.
     """
 
     def __init__(
@@ -63,26 +63,26 @@
         loop: EventLoop,
         settings: Settings,
         seed: int,
-        route: Callable[[ServerId], AttemptExecutor | None],
+        find_executor: Callable[[ServerId], AttemptExecutor | None],
         watch_endpoints: Callable[[], None],
-        max_open: int,
+        max_open_requests: int,
     ) -> None:
         self._loop = loop
         self._settings = settings
-        self._route = route
+        self._find_executor = find_executor
         self._watch_endpoints = watch_endpoints
-        self._max_open = max_open
+        self._max_open_requests = max_open_requests
         self._requests = OpenRequests(loop)
         self._events: deque[Event] = deque()  # not handled yet
         self._handling_events = False
         self._balancer = Balancer(settings, seed, loop.now())
         self.monitor = InvariantMonitor(settings)
 
-    def start(self, cached: EndpointUpdate) -> None:
+    def start(self, initial_list: EndpointUpdate) -> None:
         """Carry out the balancer's first actions, and pass it the last known endpoint list."""
         for action in self._balancer.start(self._loop.now()):
             self._carry_out(action)
-        self.notify(cached)
+        self.notify(initial_list)
         self._balancer.settle_all()
 
     def servers(self) -> list[Server]:
@@ -113,16 +113,16 @@
         Returns None if the request was rejected because too many are open for the available memory.
         """
         metrics.requests_received += 1
-        if len(self._requests) >= self._max_open:
+        if len(self._requests) >= self._max_open_requests:
             metrics.requests_rejected_for_memory += 1
             handler.on_rejected(self._settings.max_retry_after)
             return None
         now = self._loop.now()
-        number = self._requests.next_number()
-        event = make_event(number)
-        request = PendingRequest(number, command, now + event.timeout, handler, received_at=now)
+        request_id = self._requests.next_id()
+        event = make_event(request_id)
+        request = PendingRequest(request_id, command, now + event.timeout, handler, received_at=now)
         self._requests.add(request)
-        request.guard_timer = self._loop.call_at(
+        request.overdue_timer = self._loop.call_at(
             request.deadline + DEADLINE_GRACE_MS, lambda: self._fail_overdue(request)
         )
         self.notify(event)
@@ -145,17 +145,17 @@
         if not request.finished:
             metrics.requests_overdue += 1
             log_event("request_overdue", request=request.request_id)
-            self._answer(request).on_failed()
+            self._finish_request(request).on_failed()
             self.notify(ClientDisconnected(request.request_id))
 
     def fail_open_requests(self) -> None:
         """Fail all requests without an answer, at the end of a shutdown, before the process is killed."""
         for request in self._requests.unfinished():
             metrics.requests_failed_at_shutdown += 1
-            self._answer(request).on_failed()
+            self._finish_request(request).on_failed()
             self.notify(ClientDisconnected(request.request_id))
 
-    def _answer(self, request: PendingRequest, is_rejection: bool = False) -> ResponseHandler:
+    def _finish_request(self, request: PendingRequest, is_rejection: bool = False) -> ResponseHandler:
         """Finish a request whose client is connected; the caller answers through the returned handler."""
         self.monitor.check_answer(request, is_rejection, self._loop.now())
         return self._requests.finish(request)
@@ -180,19 +180,19 @@
         try:
             actions = self._balancer.handle(event, self._loop.now())
         except Exception:  # noqa: BLE001 - the boundary: an error in a decision fails only its own request
-            self._log_fault(f"balancer, handling {type(event).__name__}")
+            self._log_internal_error(f"balancer, handling {type(event).__name__}")
             # After any other event, the request's timer fails it.
-            stranded = self._requests.get(event.request_id) if isinstance(event, RequestReceived) else None
-            if stranded is not None and not stranded.finished:
-                self._answer(stranded).on_failed()
+            request = self._requests.get(event.request_id) if isinstance(event, RequestReceived) else None
+            if request is not None and not request.finished:
+                self._finish_request(request).on_failed()
             return
         for action in actions:
             try:
                 self._carry_out(action)
             except Exception:  # noqa: BLE001 - the boundary: the other actions are still carried out
-                self._log_fault(f"carrying out {type(action).__name__}")
+                self._log_internal_error(f"carrying out {type(action).__name__}")
 
-    def _log_fault(self, where: str) -> None:
+    def _log_internal_error(self, where: str) -> None:
         metrics.dispatcher_errors += 1
         log_event("internal_error", where=where, traceback=format_traceback())
 
@@ -231,25 +231,25 @@
             metrics.requests_rejected += 1
             metrics.rejections_by_reason[action.reason.value] += 1
             log_event("request_rejected", reason=action.reason.value, history=request.history())
-            self._answer(request, is_rejection=True).on_rejected(action.retry_after)
+            self._finish_request(request, is_rejection=True).on_rejected(action.retry_after)
 
     def _fail(self, request: PendingRequest, reason: AnswerReason) -> None:
         if not request.finished:
             metrics.requests_failed += 1
             metrics.failures_by_reason[reason.value] += 1
             log_event("request_failed", reason=reason.value, history=request.history())
-            self._answer(request).on_failed()
+            self._finish_request(request).on_failed()
 
     def _cancel_attempt(self, request: PendingRequest, number: int) -> None:
         if number < len(request.attempts):
-            self._give_up(request.attempts[number], Outcome.CANCELLED)
+            self._abandon_attempt(request.attempts[number], Outcome.CANCELLED)
 
     def _start_attempt(self, request: PendingRequest, action: StartAttempt) -> None:
         """Start an attempt; it ends at once if it may not start or its server cannot be reached."""
         now = self._loop.now()
         number = len(request.attempts)
         deadline = min(action.expire_at or request.deadline, request.deadline)
-        executor = self._route(action.server)
+        executor = self._find_executor(action.server)
         attempt = Attempt(self, request, executor, number, now, deadline, action.start_by, action.server)
         request.attempts.append(attempt)
         if request.finished or number >= self._settings.max_attempts or now >= request.deadline:
@@ -262,14 +262,16 @@
         if executor is None:
             attempt.end(Outcome.CONNECT_FAILED)
             return
-        attempt.expiry_timer = self._loop.call_at(deadline, lambda: self._give_up(attempt, Outcome.TIMEOUT))
+        attempt.expiry_timer = self._loop.call_at(
+            deadline, lambda: self._abandon_attempt(attempt, Outcome.TIMEOUT)
+        )
         try:
             executor.start(attempt)
         except Exception:  # noqa: BLE001 - the boundary: a part may be written, so it counts as executed
-            self._log_fault("starting an attempt")
-            self._give_up(attempt, Outcome.RESET)
+            self._log_internal_error("starting an attempt")
+            self._abandon_attempt(attempt, Outcome.RESET)
 
-    def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _abandon_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """Stop waiting for an attempt. One that expires before it was sent has not been executed, and its
         outcome says so."""
         if attempt.finished or attempt.executor is None:
@@ -299,7 +301,7 @@
         request = attempt.request
         if outcome is Outcome.OK and not request.finished:
             metrics.requests_served += 1
-            self._answer(request).on_served(value or b"")
+            self._finish_request(request).on_served(value or b"")
         self.notify(
             AttemptEnded(
                 request_id=request.request_id,
@@ -311,4 +313,4 @@
                 load=load,
             )
         )
-        self._requests.forget_if_over(request)
+        self._requests.remove_if_complete(request)
--- a/lupinladder/net/wall_clock.py
+++ b/lupinladder/net/wall_clock.py
@@ -20,12 +20,12 @@
 
     def observe(self, unix_ms: float, now: float) -> None:
         """Record what the wall clock shows at this time on the loop's clock, both in ms."""
-        ahead = unix_ms - now
-        if abs(ahead - self._offsets[-1]) < MIN_STEP_MS:
+        offset = unix_ms - now
+        if abs(offset - self._offsets[-1]) < MIN_STEP_MS:
             return
         if len(self._offsets) >= MAX_OFFSETS:
             del self._offsets[1]
-        self._offsets.append(ahead)
+        self._offsets.append(offset)
 
     def to_loop_time(self, unix_ms: float, now: float) -> float:
         """Convert a wall-clock time to ms on the loop's clock; the result is never after `now`.
@@ -34,5 +34,5 @@
         warm too early is sent more than it can handle, one that counts as cold for too long is only sent
         less.
         """
-        meanings = [unix_ms - ahead for ahead in self._offsets]
-        return max((meaning for meaning in meanings if meaning <= now), default=now)
+        candidates = [unix_ms - offset for offset in self._offsets]
+        return max((candidate for candidate in candidates if candidate <= now), default=now)
--- a/lupinladder/proxy.py
+++ b/lupinladder/proxy.py
@@ -26,7 +26,7 @@
     from lupinladder.net.state_persister import StatePersister
     from lupinladder.operator_config.settings import OperatorSettings
 
-RELOAD_RETRY_MS = 200.0  # until a configuration file that could not be read is read again
+RELOAD_RETRY_INTERVAL_MS = 200.0  # until a configuration file that could not be read is read again
 MAX_RELOAD_RETRIES = 15  # of one signal: by the rules, the new list counts as received 4 s after it (LATER)
 METRICS_INTERVAL_MS = 10_000.0  # between log lines with the metrics
 SHUTDOWN_POLL_INTERVAL_MS = 20.0  # between checks whether all requests are answered
@@ -37,42 +37,47 @@
 
     def __init__(
         self,
-        conf: config.ProxyConfig,
+        proxy_config: config.ProxyConfig,
         loop: EventLoop,
         listening_socket: socket.socket,
         operator: OperatorSettings | None = None,
     ) -> None:
         """The caller creates the loop and the listening socket, as these may fail for a moment at a start."""
-        self._conf = conf
+        self._proxy_config = proxy_config
         self._shutting_down = False
         self._reload_timer: Timer | None = None  # for the retry of a reload that could not read its file
         self.loop = loop
-        self._budget = DescriptorBudget(conf.max_descriptors)
+        self._budget = DescriptorBudget(proxy_config.max_descriptors)
         self._persister = self._open_persister(operator)
         self._reuse_policy = ReusePolicy()
-        self._cache_node_protocol = CacheNodeProtocol(conf.settings.report_fields)
+        self._cache_node_protocol = CacheNodeProtocol(proxy_config.settings.report_fields)
         self._registry = EndpointRegistry(
             self.loop,
             self._budget,
-            conf.discovery_address,
-            conf.endpoint_parser,
+            proxy_config.discovery_address,
+            proxy_config.endpoint_parser,
             self._make_pool,
             lambda update: self.dispatcher.notify(update),  # the dispatcher is created after the registry
         )
         self.dispatcher = RequestDispatcher(
             self.loop,
-            conf.settings,
-            conf.seed,
+            proxy_config.settings,
+            proxy_config.seed,
             self._registry.pool_for,
             self._registry.open_watch,
-            conf.max_open_requests,
+            proxy_config.max_open_requests,
         )
         self._start_dispatcher()
-        if not conf.settings.poll_endpoints:
+        if not proxy_config.settings.poll_endpoints:
             # With a pushed list, the rules expect the proxy to know discovery's list from its start on.
             self._registry.open_watch()
         self.listener = ClientListener(
-            self.loop, self._budget, self.dispatcher, listening_socket, conf.classes, conf.tenants
+            self.loop,
+            self._budget,
+            self.dispatcher,
+            listening_socket,
+            proxy_config.classes,
+            proxy_config.tenants,
         )
         self._log_metrics()
 
@@ -84,7 +89,7 @@
         from lupinladder.store.file_store import StoreUnavailableError
 
         try:
-            return StatePersister(self._conf, operator.store, self.loop.now())
+            return StatePersister(self._proxy_config, operator.store, self.loop.now())
         except StoreUnavailableError as error:  # only the stored state is lost; the proxy starts without it
             log_event("store_unavailable", error=error)
             return None
@@ -92,7 +97,7 @@
     def _start_dispatcher(self) -> None:
         """Pass the balancer its first list: the stored one with the restored state, or the platform's."""
         if self._persister is None:
-            self.dispatcher.start(self._registry.load_cached(self._conf.known))
+            self.dispatcher.start(self._registry.load_cached(self._proxy_config.known))
             return
         warm_start = self._persister.beginning
         self.dispatcher.start(self._registry.load_cached(warm_start.known))
@@ -102,18 +107,18 @@
 
     def _make_pool(self, endpoint: Endpoint, address: Address) -> ConnectionPool:
         """Create a connection pool for this server, with the protocol of its kind."""
-        conf = self._conf
+        proxy_config = self._proxy_config
         protocol: UpstreamProtocol = self._cache_node_protocol
-        if endpoint.server_kind == conf.origin_kind:
-            protocol = OriginProtocol(address, conf.settings.report_fields)
+        if endpoint.server_kind == proxy_config.origin_kind:
+            protocol = OriginProtocol(address, proxy_config.settings.report_fields)
         return ConnectionPool(
             self.loop,
             self._budget,
             address,
             protocol,
-            conf.idle_timeout_ms,
-            conf.connect_timeout_ms,
-            max(conf.streams_per_connection, 1),
+            proxy_config.idle_timeout_ms,
+            proxy_config.connect_timeout_ms,
+            max(proxy_config.streams_per_connection, 1),
             self._reuse_policy,
         )
 
@@ -128,19 +133,19 @@
         """
         self.loop.cancel(self._reload_timer)
         self._reload_timer = None
-        self._load_again(MAX_RELOAD_RETRIES)
+        self._try_reload(MAX_RELOAD_RETRIES)
 
-    def _load_again(self, retries: int) -> None:
+    def _try_reload(self, remaining_retries: int) -> None:
         """Reload. This is retried if the file cannot be read, as discovery may leave its former address."""
         try:
             reloaded = config.load(os.environ)
         except config.ConfigUnreadableError as error:
-            if not retries:
+            if not remaining_retries:
                 log_event("reload_rejected", error=error)
                 return
             log_event("reload_postponed", error=error)
-            retry_at = self.loop.now() + RELOAD_RETRY_MS
-            self._reload_timer = self.loop.call_at(retry_at, lambda: self._load_again(retries - 1))
+            retry_at = self.loop.now() + RELOAD_RETRY_INTERVAL_MS
+            self._reload_timer = self.loop.call_at(retry_at, lambda: self._try_reload(remaining_retries - 1))
             return
         except config.ConfigError as error:
             log_event("reload_rejected", error=error)
--- a/lupinladder/simulator/adapter.py
+++ b/lupinladder/simulator/adapter.py
@@ -24,7 +24,7 @@
 from lupinladder.simulator.encoder import encode_action, encode_fault, encode_reply
 
 EXIT_BAD_INPUT = 2
-REMEMBERED_SERVERS = 8192
+HASH_CACHE_SIZE = 8192
 # Hundreds of instances hold millions of long-lived objects, so full garbage collections must be rare.
 GC_THRESHOLDS = (100_000, 20, 100)
 
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self._decoder = Decoder()
         # All instances list the same servers, and the hashes of an id are the same in each.
-        self._hash_series = lru_cache(REMEMBERED_SERVERS)(splitmix64_series)
+        self._hash_series = lru_cache(HASH_CACHE_SIZE)(splitmix64_series)
         self._instances: dict[int, Balancer | None] = {}  # None: its FAULT has been sent
 
     def handle_batch(self, body: bytes, now: float) -> bytes:
@@ -72,14 +72,14 @@
 
 def _read_exactly(source: BinaryIO, size: int) -> bytes:
     """Read this many bytes, or fewer at the end of the input."""
-    parts = []
+    chunks = []
     while size > 0:
-        part = source.read(size)
-        if not part:
+        chunk = source.read(size)
+        if not chunk:
             break
-        parts.append(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
--- a/lupinladder/simulator/codec.py
+++ b/lupinladder/simulator/codec.py
@@ -39,8 +39,8 @@
 _UP = struct.Struct("<HQI")  # instance, seed, size of the settings
 _LEFT = struct.Struct("<HQ")  # instance, id
 _HEALTH_RESULT = struct.Struct("<H6sHdB")  # instance, server, outcome, latency, count of load values
-_LOAD_FIGURES = [struct.Struct(f"<{count}f") for count in range(256)]
-_LOAD_FIGURE_SIZE = 4
+_LOAD_VALUES = [struct.Struct(f"<{count}f") for count in range(256)]
+_LOAD_VALUE_SIZE = 4
 
 # Flags of a request.
 _WORK_IS_KNOWN = 1
@@ -48,7 +48,7 @@
 _IS_WRITE = 4
 
 MAX_LISTS = 16  # list numbers run from 0 to 15
-TIMEOUT_BOUND_MS = 1e12  # a timeout beyond this is invalid
+MAX_TIMEOUT_MS = 1e12  # a timeout beyond this is invalid
 
 OUTCOMES = {
     200: Outcome.OK,
@@ -157,9 +157,9 @@
         return decoded
 
     def _read_define_list(self, body: bytes, offset: int) -> Decoded:
-        number, count = _DEFINE_LIST.unpack_from(body, offset)
-        if number >= MAX_LISTS:
-            text = f"list number {number} is out of range"
+        list_number, count = _DEFINE_LIST.unpack_from(body, offset)
+        if list_number >= MAX_LISTS:
+            text = f"list number {list_number} is out of range"
             raise ValueError(text)
         start = offset + _DEFINE_LIST.size
         end = start + count * _LIST_ENTRY.size
@@ -171,7 +171,7 @@
                 text = f"availability {state} is out of range"
                 raise ValueError(text)
             endpoints.append(Endpoint(server, _STATES[state], weight, started_at, zone, cell, kind))
-        self._lists[number] = endpoints
+        self._lists[list_number] = endpoints
         return Decoded(0, None, end)
 
     def _read_reminder(self, body: bytes, offset: int) -> Decoded:
@@ -185,7 +185,7 @@
     def _read_request(self, body: bytes, offset: int) -> Decoded:
         fields = _REQUEST.unpack_from(body, offset)
         instance, request_id, tenant, request_class, timeout, key, work, flags, size = fields
-        if not -TIMEOUT_BOUND_MS < timeout < TIMEOUT_BOUND_MS:
+        if not -MAX_TIMEOUT_MS < timeout < MAX_TIMEOUT_MS:
             text = f"patience-left-ms {timeout} is out of range"
             raise ValueError(text)
         if request_class >= self.class_counts.get(instance, request_class + 1):
@@ -210,7 +210,7 @@
 
     def _read_attempt_end(self, body: bytes, offset: int) -> Decoded:
         fields = _ATTEMPT_END.unpack_from(body, offset)
-        instance, request_id, _, cache_result, finished, latency, code, attempt, figures = fields
+        instance, request_id, _, cache_result, finished, latency, code, attempt, load_count = fields
         ended = AttemptEnded(
             request_id=request_id,
             attempt=attempt,
@@ -220,25 +220,25 @@
             cache_result=_CACHE_RESULTS.get(cache_result, CacheResult.MISS_PENDING),
         )
         end = offset + _ATTEMPT_END.size
-        if figures:
-            ended.load = _LOAD_FIGURES[figures].unpack_from(body, end)
-        return Decoded(instance, ended, end + figures * _LOAD_FIGURE_SIZE)
+        if load_count:
+            ended.load = _LOAD_VALUES[load_count].unpack_from(body, end)
+        return Decoded(instance, ended, end + load_count * _LOAD_VALUE_SIZE)
 
     def _read_headers(self, body: bytes, offset: int) -> Decoded:
         instance, request_id, latency, _, attempt = _HEADERS.unpack_from(body, offset)
         return Decoded(instance, ResponseStarted(request_id, attempt, latency), offset + _HEADERS.size)
 
     def _read_endpoint_update(self, body: bytes, offset: int) -> Decoded:
-        instance, form, version, number = _ENDPOINT_UPDATE.unpack_from(body, offset)
+        instance, form, version, list_number = _ENDPOINT_UPDATE.unpack_from(body, offset)
         if form not in _UPDATE_KINDS:
             text = f"form {form} is out of range"
             raise ValueError(text)
         update = EndpointUpdate(_UPDATE_KINDS[form], version)
         if update.kind is not EndpointUpdateKind.FAILED:
-            if number not in self._lists:
-                text = f"list {number} was never defined"
+            if list_number not in self._lists:
+                text = f"list {list_number} was never defined"
                 raise ValueError(text)
-            update.endpoints = self._lists[number]
+            update.endpoints = self._lists[list_number]
         return Decoded(instance, update, offset + _ENDPOINT_UPDATE.size)
 
     def _read_up(self, body: bytes, offset: int) -> Decoded:
@@ -254,12 +254,12 @@
         return Decoded(instance, ClientDisconnected(request_id), offset + _LEFT.size)
 
     def _read_health_result(self, body: bytes, offset: int) -> Decoded:
-        instance, server, code, latency, figures = _HEALTH_RESULT.unpack_from(body, offset)
+        instance, server, code, latency, load_count = _HEALTH_RESULT.unpack_from(body, offset)
         result = HealthCheckResult(server, _outcome(code), latency)
         end = offset + _HEALTH_RESULT.size
-        if figures:
-            result.load = _LOAD_FIGURES[figures].unpack_from(body, end)
-        return Decoded(instance, result, end + figures * _LOAD_FIGURE_SIZE)
+        if load_count:
+            result.load = _LOAD_VALUES[load_count].unpack_from(body, end)
+        return Decoded(instance, result, end + load_count * _LOAD_VALUE_SIZE)
 
 
 def _outcome(code: int) -> Outcome:
--- a/lupinladder/startup.py
+++ b/lupinladder/startup.py
@@ -9,24 +9,26 @@
 from lupinladder.net.log import log_event
 from lupinladder.net.transient_errors import RETRIED_START_ERRORS, is_in
 
-RETRY_S = 0.1  # between two calls
-TIMEOUT_S = 8.0  # of all calls: a restarted proxy must be ready within 10 s (standing test, "Pass or fail")
+RETRY_INTERVAL_S = 0.1  # between two calls
+RETRY_TIMEOUT_S = (
+    8.0  # of all calls: a restarted proxy must be ready within 10 s (standing test, "Pass or fail")
+)
 
 Made = TypeVar("Made")
 
 
-def retry_start(make: Callable[[], Made], is_cancelled: Callable[[], bool] = lambda: False) -> Made:
-    """Return what `make` returns, calling it again while resources are short or an address is in use.
+def retry_start(create: Callable[[], Made], is_cancelled: Callable[[], bool] = lambda: False) -> Made:
+    """Return what `create` returns, calling it again while resources are short or an address is in use.
 
-    Raises the OSError of the last call after `TIMEOUT_S` or when `is_cancelled` returns true, and any other
-    OSError at once.
+    Raises the OSError of the last call after `RETRY_TIMEOUT_S` or when `is_cancelled` returns true, and any
+    other OSError at once.
     """
-    give_up_at = time.monotonic() + TIMEOUT_S
+    retry_until = time.monotonic() + RETRY_TIMEOUT_S
     while True:
         try:
-            return make()
+            return create()
         except OSError as error:
-            if not is_in(error, RETRIED_START_ERRORS) or is_cancelled() or time.monotonic() > give_up_at:
+            if not is_in(error, RETRIED_START_ERRORS) or is_cancelled() or time.monotonic() > retry_until:
                 raise
             log_event("start_postponed", error=error)
-        time.sleep(RETRY_S)
+        time.sleep(RETRY_INTERVAL_S)
--- a/tests/net/test_event_loop.py
+++ b/tests/net/test_event_loop.py
@@ -8,15 +8,17 @@
 
 
 class Timers(unittest.TestCase):
-    def test_timers_fire_in_order_can_be_cancelled_and_never_starve_a_turn(self) -> None:
+    def test_due_timers_fire_in_order_and_new_or_cancelled_ones_do_not(self) -> None:
         loop = EventLoop()
         fired = list[str]()
         now = loop.now()
         loop.call_at(now - 1, lambda: fired.append("second"))
         loop.call_at(now - 2, lambda: fired.append("first"))
         cancelled = loop.call_at(now - 3, lambda: fired.append("never"))
-        loop.call_at(now - 0.5, lambda: loop.cancel(late))
-        late = loop.call_at(now - 0.4, lambda: fired.append("cancelled in the same iteration"))
+        loop.call_at(now - 0.5, lambda: loop.cancel(cancelled_by_callback))
+        cancelled_by_callback = loop.call_at(
+            now - 0.4, lambda: fired.append("cancelled in the same iteration")
+        )
         loop.call_at(
             now - 0.3, lambda: loop.call_at(now - 9, lambda: fired.append("next iteration")) and None
         )
--- a/tests/net/test_event_loop_turns.py
+++ b/tests/net/test_event_loop_turns.py
@@ -8,12 +8,12 @@
 from unittest import mock
 
 from lupinladder.net.connection import READ
-from lupinladder.net.event_loop import LATE_TURN_MS, PHASE_TIME_MS, EventLoop, WatchRank
+from lupinladder.net.event_loop import LATE_TURN_MS, MAX_PHASE_TIME_MS, EventLoop, WatchRank
 from lupinladder.net.metrics import metrics
 
 CALL_MS = 2.0  # duration of each callback
-CALLS = 7
-CALLS_IN_A_PHASE = 3  # of 2 ms each: those that start within 5 ms
+CALL_COUNT = 7
+CALLS_PER_PHASE = 3  # of 2 ms each: those that start within 5 ms
 
 
 class Turns(unittest.TestCase):
@@ -26,83 +26,85 @@
         patched.start()
         self.addCleanup(patched.stop)
         self.loop._selected_at = self.clock
-        self.done = list[str]()
+        self.calls = list[str]()
 
-    def call(self, name: str) -> Callable[..., None]:
+    def callback(self, name: str) -> Callable[..., None]:
         """Return a callback that takes `CALL_MS` and records its name."""
 
-        def work(*_: object) -> None:
+        def run(*_: object) -> None:
             self.clock += CALL_MS
-            self.done.append(name)
+            self.calls.append(name)
 
-        return work
+        return run
 
     def ready_socket(self, name: str, rank: WatchRank = WatchRank.OTHER) -> socket.socket:
         """Watch a socket that is ready to be read once; return its peer."""
-        near, far = socket.socketpair()
-        self.addCleanup(near.close)
-        self.addCleanup(far.close)
-        far.send(b"x")
-        note = self.call(name)
+        sock, peer = socket.socketpair()
+        self.addCleanup(sock.close)
+        self.addCleanup(peer.close)
+        peer.send(b"x")
+        record = self.callback(name)
 
         def ready(mask: int) -> None:
-            near.recv(1)
-            note()
+            sock.recv(1)
+            record()
 
-        self.loop.watch(near, 0, READ, ready, rank)
-        return far
+        self.loop.watch(sock, 0, READ, ready, rank)
+        return peer
 
     def turn(self) -> list[str]:
         """Run one iteration; return the names of the callbacks that it ran."""
-        self.done.clear()
+        self.calls.clear()
         self.loop.run_once()
-        return list(self.done)
+        return list(self.calls)
 
-    def test_sockets_that_are_left_come_first_in_the_next_turn_and_timers_go_between(self) -> None:
-        for number in range(CALLS):
+    def test_postponed_sockets_come_first_in_the_next_iteration_and_timers_run_in_between(self) -> None:
+        for number in range(CALL_COUNT):
             self.ready_socket(f"s{number}")
-        self.loop.call_at(self.clock, self.call("timer"))
+        self.loop.call_at(self.clock, self.callback("timer"))
         first = self.turn()
-        self.assertEqual((len(first), first[-1]), (CALLS_IN_A_PHASE + 1, "timer"))
+        self.assertEqual((len(first), first[-1]), (CALLS_PER_PHASE + 1, "timer"))
         self.ready_socket("new")
         self.ready_socket("list", WatchRank.ENDPOINT_LIST)
         second = self.turn()
         self.assertEqual(second[0], "list")
         third = self.turn()
         self.assertEqual(third[-1], "new")
-        self.assertEqual(sorted([*first[:-1], *second[1:], *third[:-1]]), [f"s{n}" for n in range(CALLS)])
-
-    def test_timers_and_deferred_calls_go_on_in_the_next_turn(self) -> None:
-        for number in range(CALLS):
-            self.loop.call_at(self.clock, self.call(f"t{number}"))
-            self.loop.call_soon(self.call(f"d{number}"))
+        self.assertEqual(
+            sorted([*first[:-1], *second[1:], *third[:-1]]), [f"s{n}" for n in range(CALL_COUNT)]
+        )
+
+    def test_remaining_timers_and_deferred_calls_run_in_the_next_iteration(self) -> None:
+        for number in range(CALL_COUNT):
+            self.loop.call_at(self.clock, self.callback(f"t{number}"))
+            self.loop.call_soon(self.callback(f"d{number}"))
         turns = [self.turn() for _ in range(3)]
-        self.assertEqual([one[0] for one in turns], ["t0", "t3", "t6"])
-        self.assertEqual([one[CALLS_IN_A_PHASE] for one in turns[:2]], ["d0", "d3"])
-        self.assertEqual([len(one) for one in turns], [6, 6, 2])
+        self.assertEqual([names[0] for names in turns], ["t0", "t3", "t6"])
+        self.assertEqual([names[CALLS_PER_PHASE] for names in turns[:2]], ["d0", "d3"])
+        self.assertEqual([len(names) for names in turns], [6, 6, 2])
 
-    def test_a_late_turn_looks_after_all_that_is_ready_the_clients_first(self) -> None:
-        for number in range(CALLS):
+    def test_a_late_iteration_handles_all_ready_sockets_clients_first(self) -> None:
+        for number in range(CALL_COUNT):
             self.ready_socket(f"s{number}")
         self.ready_socket("client", WatchRank.CLIENT)
         self.clock += LATE_TURN_MS + 1
-        done = self.turn()
-        self.assertEqual((len(done), done[0]), (CALLS + 1, "client"))
+        calls = self.turn()
+        self.assertEqual((len(calls), calls[0]), (CALL_COUNT + 1, "client"))
 
-    def test_a_long_turn_is_counted_and_its_length_kept(self) -> None:
-        slow_before = metrics.slow_turns
+    def test_a_slow_iteration_is_counted_and_its_duration_is_reported(self) -> None:
+        previous_count = metrics.slow_turns
 
-        def stand_still() -> None:
+        def stall() -> None:
             self.clock += 400
 
-        self.loop.call_soon(stand_still)
+        self.loop.call_soon(stall)
         self.loop.call_soon(lambda: self.loop.call_soon(lambda: None))
         with mock.patch("builtins.print") as printed:
             self.turn()
             self.turn()
-        self.assertEqual(metrics.slow_turns, slow_before + 1)
+        self.assertEqual(metrics.slow_turns, previous_count + 1)
         self.assertGreaterEqual(metrics.longest_turn_ms, 400)
         self.assertIn("turn_slow ms=400", printed.call_args.args[0])
 
-    def test_a_phase_is_short_beside_the_time_in_which_a_clients_end_has_to_be_seen(self) -> None:
-        self.assertLessEqual(3 * PHASE_TIME_MS, LATE_TURN_MS / 2)
+    def test_a_phase_is_short_compared_with_the_time_in_which_a_disconnect_must_be_handled(self) -> None:
+        self.assertLessEqual(3 * MAX_PHASE_TIME_MS, LATE_TURN_MS / 2)
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -25,7 +25,7 @@
 READ, EDIT, CLAIM = CLASSES
 
 
-def request_of(name: str) -> PendingRequest:
+def make_request(name: str) -> PendingRequest:
     """Return a request of this class, received at 0 ms with a timeout of 600 ms."""
     command = parse_command([b"OBJ.GET", b"1f", b"a", b"c=%b,d=600" % name.encode()], CLASSES)
     return PendingRequest(1, command, 600.0, None)
@@ -47,13 +47,21 @@
             self.addCleanup(patch.stop)
         self.monitor = InvariantMonitor(SETTINGS)
 
-    def counted(self) -> list[str]:
-        names = sorted(self.metrics.invariant_violations)
+    def take_violations(self) -> list[str]:
+        violations = sorted(self.metrics.invariant_violations)
         self.metrics.invariant_violations.clear()
-        return names
+        return violations
 
-    def test_sends(self) -> None:
-        for name, earlier, at, told, leaving_since, left_at, expected in (
+    def test_each_rule_for_sends_is_counted_when_it_is_violated(self) -> None:
+        for (
+            name,
+            earlier_attempts,
+            now,
+            forwarded_deadline,
+            server_retired_at,
+            client_disconnected_at,
+            expected,
+        ) in (
             (READ, (), 100, 500, None, None, []),
             (READ, (), 100, 640, None, None, []),
             (READ, (), 100, 660, None, None, ["deadline_told_truly"]),
@@ -70,18 +78,20 @@
             (EDIT, ((-900, Outcome.TIMEOUT),), 100, 1, None, None, []),
             (EDIT, ((-1000, Outcome.TIMEOUT),), 100, 1, None, None, ["repeated_as_permitted"]),
         ):
-            with self.subTest(name=name, earlier=earlier, at=at, told=told):
-                request = request_of(name)
-                for sent_at, outcome in earlier:
+            with self.subTest(
+                name=name, earlier_attempts=earlier_attempts, now=now, forwarded_deadline=forwarded_deadline
+            ):
+                request = make_request(name)
+                for sent_at, outcome in earlier_attempts:
                     add_attempt(request, sent_at, outcome)
-                request.client_left_at = left_at
-                request.finished = left_at is not None
+                request.client_left_at = client_disconnected_at
+                request.finished = client_disconnected_at is not None
                 attempt = add_attempt(request, None, None)
-                self.monitor.check_send(attempt, told, leaving_since, at)
-                self.assertEqual(self.counted(), expected)
+                self.monitor.check_send(attempt, forwarded_deadline, server_retired_at, now)
+                self.assertEqual(self.take_violations(), expected)
 
-    def test_answers(self) -> None:
-        for name, sent_at, outcome, is_rejection, at, expected in (
+    def test_each_rule_for_final_answers_is_counted_when_it_is_violated(self) -> None:
+        for name, sent_at, outcome, is_rejection, now, expected in (
             (READ, 0, Outcome.RESET, True, 100, []),
             (READ, 0, Outcome.OK, False, 640, []),
             (READ, 0, Outcome.OK, False, 660, ["answered_in_time"]),
@@ -91,19 +101,19 @@
             (CLAIM, None, Outcome.CONNECT_FAILED, True, 100, []),
             (EDIT, 0, Outcome.RESET, True, 100, []),
         ):
-            with self.subTest(name=name, outcome=outcome, rejected=is_rejection, at=at):
-                request = request_of(name)
+            with self.subTest(name=name, outcome=outcome, rejected=is_rejection, now=now):
+                request = make_request(name)
                 add_attempt(request, sent_at, outcome)
-                self.monitor.check_answer(request, is_rejection, at)
-                self.assertEqual(self.counted(), expected)
+                self.monitor.check_answer(request, is_rejection, now)
+                self.assertEqual(self.take_violations(), expected)
                 request.finished = True
                 self.monitor.check_answer(request, False, 1)
-                self.assertEqual(self.counted(), ["answered_once"])
+                self.assertEqual(self.take_violations(), ["answered_once"])
 
 
 class SendGuard(TestCase):
-    def test_a_send_is_refused_for_the_first_reason_that_holds(self) -> None:
-        for finished, leaving, now, first, rest in (
+    def test_a_send_is_refused_for_the_first_reason_that_applies(self) -> None:
+        for finished, is_retired, now, send_refused_for, rest_refused_for in (
             (False, False, 0, None, None),
             (True, False, 0, SendRefusal.REQUEST_FINISHED, SendRefusal.REQUEST_FINISHED),
             (False, True, 0, SendRefusal.SERVER_LEAVING, None),
@@ -111,9 +121,9 @@
             (False, False, 600, SendRefusal.DEADLINE_OVER, SendRefusal.WRITE_OVERDUE),
             (False, False, MAX_WRITE_TIME_MS, None, SendRefusal.WRITE_OVERDUE),
         ):
-            with self.subTest(finished=finished, leaving=leaving, now=now):
-                request = request_of(READ)
+            with self.subTest(finished=finished, is_retired=is_retired, now=now):
+                request = make_request(READ)
                 request.finished = finished
                 attempt = add_attempt(request, None, None)
-                self.assertEqual(refuse_send(attempt, leaving, now), first)
-                self.assertEqual(refuse_more(attempt, 0.0, now), rest)
+                self.assertEqual(refuse_send(attempt, is_retired, now), send_refused_for)
+                self.assertEqual(refuse_more(attempt, 0.0, now), rest_refused_for)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -14,8 +14,8 @@
 
 
 class Memory(NetworkScene):
-    def test_what_is_over_is_freed_at_once_without_the_collector(self) -> None:
-        refs = list[weakref.ref[Any]]()
+    def test_completed_requests_are_freed_without_the_garbage_collector(self) -> None:
+        references = list[weakref.ref[Any]]()
         gc.disable()
         self.addCleanup(gc.enable)
         for case in ("answered", "reset by the node", "client disconnected"):
@@ -27,13 +27,13 @@
             [request] = self.engine._requests.unfinished()
             [attempt] = request.attempts
             [upstream] = list(self.links[NODE]._busy)
-            refs += map(weakref.ref, (connection, connection.conn, request, attempt))
+            references += map(weakref.ref, (connection, connection.conn, request, attempt))
             if case == "reset by the node":
-                refs += map(weakref.ref, (upstream, upstream.connection))
+                references += map(weakref.ref, (upstream, upstream.connection))
             if case == "client disconnected":
                 client.reset()
                 self.until(lambda: not self.front.clients, "the client's disconnect")
-                self.engine._give_up(attempt, Outcome.TIMEOUT)
+                self.engine._abandon_attempt(attempt, Outcome.TIMEOUT)
             else:
                 node.reset() if case == "reset by the node" else node.conn.send(SERVED)
                 self.until(lambda: client.got, "an answer")  # noqa: B023
@@ -43,7 +43,7 @@
         self.front.await_closing(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
         self.assertEqual(len(self.front.closing_connections), 1)
         self.script.events.clear()
-        self.assertEqual([ref() for ref in refs if ref()], [])
+        self.assertEqual([ref() for ref in references if ref()], [])
 
 
 class AttemptLimits(NetworkScene):
@@ -63,7 +63,7 @@
         self.assertIn((3, "NOT_STARTED", True), self.script.ends())
         self.assertIn((1, "OK", True), self.script.ends())
 
-    def test_expiry_is_cut_to_the_clients_deadline_and_the_past_expires_at_once(self) -> None:
+    def test_an_expiry_is_limited_to_the_clients_deadline_and_takes_effect_at_once_if_past(self) -> None:
         self.script.react = lambda event: (
             [StartAttempt(event.request_id, NODE, event.request_id * 1e15)]
             if isinstance(event, RequestReceived)
@@ -84,7 +84,7 @@
 
 
 class FinalAnswers(NetworkScene):
-    def test_a_cancel_ends_one_attempt_and_the_first_final_answer_is_the_only_one(self) -> None:
+    def test_a_cancel_ends_one_attempt_and_only_the_first_final_answer_is_given(self) -> None:
         def react(event: Any) -> list[Action]:
             if isinstance(event, RequestReceived):
                 return [
@@ -99,7 +99,7 @@
         self.assertEqual((handler.told, self.script.ends()), ([0.0], [(0, "CANCELLED", False)]))
         self.assertTrue(self.engine.is_idle)
 
-    def test_a_fault_in_the_balancer_strands_no_request(self) -> None:
+    def test_a_request_is_failed_after_an_exception_in_the_balancer(self) -> None:
         self.script.react = lambda event: [][1]
         self.assertEqual(self.ask().told, ["failed"])
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -31,24 +31,24 @@
 )
 
 
-class BadStart(ProxyProcess):
-    def test_a_bad_configuration_is_one_plain_line(self) -> None:
+class InvalidConfiguration(ProxyProcess):
+    def test_an_invalid_configuration_is_reported_on_one_line(self) -> None:
         with self.start({"GW_CONFIG": "/nowhere"}) as process:
             _, errors = process.communicate(timeout=END_TIMEOUT_S)
         self.assertEqual((process.returncode, errors.count(b"\n")), (2, 1))
 
 
 class AddressInUse(ProxyProcess):
-    def test_a_start_waits_for_an_address_that_a_former_process_still_holds(self) -> None:
-        conf = self.configuration()
-        host, port = parse_address(conf["listen"])
-        former = socket.create_server((host, port))
-        self.addCleanup(former.close)
-        self.config_path.write_text(json.dumps(conf))
+    def test_a_start_waits_for_an_address_that_is_still_in_use(self) -> None:
+        config = self.configuration()
+        host, port = parse_address(config["listen"])
+        other_socket = socket.create_server((host, port))
+        self.addCleanup(other_socket.close)
+        self.config_path.write_text(json.dumps(config))
         with self.start({"GW_CONFIG": str(self.config_path)}) as process:
             assert process.stderr
             self.until_logged(process, "start_postponed")
-            former.close()
+            other_socket.close()
             self.until_logged(process, "metrics")
             process.send_signal(signal.SIGTERM)
             process.communicate(timeout=END_TIMEOUT_S)
@@ -56,23 +56,23 @@
 
 
 class PostponedStart(ProxyProcess):
-    def test_while_it_waits_for_its_address_it_calls_nobody_and_holds_no_store(self) -> None:
-        conf = self.configuration()
+    def test_while_it_waits_for_its_address_it_does_not_call_discovery_or_open_its_store(self) -> None:
+        config = self.configuration()
         discovery = RecordingListener(self.loop)
         self.addCleanup(discovery.close)
-        conf["discovery"] = f"127.0.0.1:{discovery.address[1]}"
-        conf["settings"]["membership-mode"] = "push"
+        config["discovery"] = f"127.0.0.1:{discovery.address[1]}"
+        config["settings"]["membership-mode"] = "push"
         operator_path = self.config_path.with_name("operator.toml")
         operator_path.write_text(f'[store]\npath = "{self.config_path.with_name("{name}.store")}"\n')
-        host, port = parse_address(conf["listen"])
-        former = socket.create_server((host, port))
-        self.addCleanup(former.close)
-        self.config_path.write_text(json.dumps(conf))
+        host, port = parse_address(config["listen"])
+        other_socket = socket.create_server((host, port))
+        self.addCleanup(other_socket.close)
+        self.config_path.write_text(json.dumps(config))
         env = {"GW_CONFIG": str(self.config_path), "LUPINLADDER_OPERATOR": str(operator_path)}
         with self.start(env) as process:
             for _ in range(3):
                 self.until_logged(process, "start_postponed")
-            former.close()
+            other_socket.close()
             self.until_logged(process, "metrics")
             self.at_node(0, discovery)
             self.assertEqual(len(discovery.peers), 1)
@@ -82,34 +82,34 @@
 
 
 class Imports(unittest.TestCase):
-    def test_the_program_imports_nothing_optional(self) -> None:
+    def test_the_program_imports_no_optional_module(self) -> None:
         code = "import sys, lupinladder.__main__; print(*sys.modules)"
-        ran = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
         )
-        imported = ran.stdout.split()
+        imported = process.stdout.split()
         self.assertIn("lupinladder.proxy", imported)
         self.assertEqual([name for name in imported if name.startswith(OPTIONAL_MODULES)], [])
 
 
 class Log(NetworkScene):
-    def test_a_log_that_nobody_reads_any_more_does_no_harm(self) -> None:
+    def test_a_closed_log_raises_no_error(self) -> None:
         broken = mock.patch("builtins.print", side_effect=BrokenPipeError)
         with broken:
             log_event("test", detail="x")
 
 
 class FullLog(ProxyProcess):
-    def test_a_log_that_nobody_reads_on_holds_up_no_client(self) -> None:
-        conf = self.configuration()
-        self.config_path.write_text(json.dumps(conf))
+    def test_a_full_log_pipe_does_not_block_clients(self) -> None:
+        config = self.configuration()
+        self.config_path.write_text(json.dumps(config))
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         size = fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 4096)
         os.write(writer, b"x" * size)  # writing one more byte blocks
         with self.start({"GW_CONFIG": str(self.config_path)}, stderr=writer) as process:
             os.close(writer)
-            self.address = parse_address(conf["listen"])
+            self.address = parse_address(config["listen"])
             self.until_served()
             process.send_signal(signal.SIGTERM)
             process.wait(END_TIMEOUT_S)
@@ -130,14 +130,14 @@
 
 
 class Reload(ProxyProcess):
-    def test_on_sighup_it_follows_the_list_at_the_new_address_and_goes_on(self) -> None:
+    def test_on_sighup_it_watches_the_list_at_the_new_address_and_continues_to_serve(self) -> None:
         listeners = [RecordingListener(self.loop) for _ in range(2)]
         for listener in listeners:
             self.addCleanup(listener.close)
-        conf = self.configuration()
-        conf["settings"]["obligations"]["ask-within-ms"] = 50.0
-        conf["discovery"] = f"127.0.0.1:{listeners[0].address[1]}"
-        with self.start_listening(conf) as process:
+        config = self.configuration()
+        config["settings"]["obligations"]["ask-within-ms"] = 50.0
+        config["discovery"] = f"127.0.0.1:{listeners[0].address[1]}"
+        with self.start_listening(config) as process:
             assert process.stderr
             self.until(lambda: listeners[0].peers, "the first watch")
             client = self.client(get())
@@ -145,8 +145,8 @@
             self.config_path.write_text("{")
             process.send_signal(signal.SIGHUP)
             self.assertIn(b"error=", self.until_logged(process, "reload_rejected"))
-            conf["discovery"] = f"127.0.0.1:{listeners[1].address[1]}"
-            self.config_path.write_text(json.dumps(conf))
+            config["discovery"] = f"127.0.0.1:{listeners[1].address[1]}"
+            self.config_path.write_text(json.dumps(config))
             for _ in range(50):
                 process.send_signal(signal.SIGHUP)
             self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
@@ -160,22 +160,22 @@
             process.communicate(timeout=END_TIMEOUT_S)
         self.assertEqual((process.returncode, len(listeners[1].peers)), (0, 1))
 
-    def test_a_file_that_cannot_be_read_for_a_moment_is_read_again(self) -> None:
+    def test_a_configuration_file_that_is_missing_for_a_moment_is_read_again(self) -> None:
         listeners = [RecordingListener(self.loop) for _ in range(2)]
         for listener in listeners:
             self.addCleanup(listener.close)
-        conf = self.configuration()
-        conf["settings"]["obligations"]["ask-within-ms"] = 50.0
-        conf["discovery"] = f"127.0.0.1:{listeners[0].address[1]}"
-        with self.start_listening(conf) as process:
+        config = self.configuration()
+        config["settings"]["obligations"]["ask-within-ms"] = 50.0
+        config["discovery"] = f"127.0.0.1:{listeners[0].address[1]}"
+        with self.start_listening(config) as process:
             assert process.stderr
             self.until(lambda: listeners[0].peers, "the first watch")
             self.config_path.unlink()
             process.send_signal(signal.SIGHUP)
             self.assertIn(b"error=", self.until_logged(process, "reload_postponed"))
-            conf["discovery"] = f"127.0.0.1:{listeners[1].address[1]}"
+            config["discovery"] = f"127.0.0.1:{listeners[1].address[1]}"
             new_path = self.config_path.with_suffix(".new")
-            new_path.write_text(json.dumps(conf))
+            new_path.write_text(json.dumps(config))
             new_path.replace(self.config_path)
             self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
             process.send_signal(signal.SIGTERM)
@@ -184,14 +184,14 @@
 
 
 class PushedList(ProxyProcess):
-    def test_it_is_watched_from_the_first_moment_and_again_when_its_watch_is_lost(self) -> None:
+    def test_a_pushed_list_is_watched_from_the_start_and_again_after_its_watch_is_lost(self) -> None:
         discovery = RecordingListener(self.loop)
         self.addCleanup(discovery.close)
-        conf = self.configuration()
-        conf["discovery"] = f"127.0.0.1:{discovery.address[1]}"
-        conf["settings"]["membership-mode"] = "push"
-        conf["settings"]["obligations"] |= {"ask-within-ms": 60000.0, "stop-sending-within-ms": 400.0}
-        process = self.start_listening(conf)
+        config = self.configuration()
+        config["discovery"] = f"127.0.0.1:{discovery.address[1]}"
+        config["settings"]["membership-mode"] = "push"
+        config["settings"]["obligations"] |= {"ask-within-ms": 60000.0, "stop-sending-within-ms": 400.0}
+        process = self.start_listening(config)
         self.addCleanup(process.communicate)
         self.addCleanup(process.kill)
         for number in range(3):
@@ -212,7 +212,7 @@
 
 
 class Shutdown(ProxyProcess):
-    def test_on_sigterm_it_answers_what_it_took_and_ends_with_0(self) -> None:
+    def test_on_sigterm_it_answers_accepted_requests_and_exits_with_0(self) -> None:
         with self.start_listening(self.configuration()) as process:
             client = self.client(get())
             idle = self.client(PING)
@@ -231,12 +231,12 @@
             process.communicate(timeout=END_TIMEOUT_S)
         self.assertEqual(process.returncode, 0)
 
-    def test_a_stop_before_the_first_list_and_a_reload_after_it_answer_and_end_with_0(self) -> None:
-        conf = self.configuration()
-        with socket.create_server(("127.0.0.1", 0)) as unanswering:  # it accepts but never replies
-            conf["discovery"] = f"127.0.0.1:{unanswering.getsockname()[1]}"
-            conf["settings"]["membership-mode"] = "push"
-            with self.start_listening(conf) as process:
+    def test_a_stop_before_the_first_list_and_a_reload_answer_requests_and_exit_with_0(self) -> None:
+        config = self.configuration()
+        with socket.create_server(("127.0.0.1", 0)) as silent_discovery:  # it accepts but never replies
+            config["discovery"] = f"127.0.0.1:{silent_discovery.getsockname()[1]}"
+            config["settings"]["membership-mode"] = "push"
+            with self.start_listening(config) as process:
                 client = self.client(get())
                 node = self.at_node()
                 process.send_signal(signal.SIGTERM)
@@ -248,11 +248,11 @@
                 process.wait(END_TIMEOUT_S)
         self.assertEqual(process.returncode, 0)
 
-    def test_a_sole_proxy_serves_on_after_its_signal_while_discovery_is_away(self) -> None:
-        conf = self.configuration()
-        conf["settings"]["n-instances"] = 1
-        conf["settings"]["membership-mode"] = "push"
-        with self.start_listening(conf) as process:  # no process listens at discovery's address
+    def test_a_sole_proxy_continues_to_serve_after_its_signal_while_discovery_is_down(self) -> None:
+        config = self.configuration()
+        config["settings"]["n-instances"] = 1
+        config["settings"]["membership-mode"] = "push"
+        with self.start_listening(config) as process:  # no process listens at discovery's address
             client = self.client(PING)
             self.answers(client, b"+PONG\r\n")
             process.send_signal(signal.SIGTERM)
