--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -62,8 +62,8 @@
         that the server is retired.
         """
         request = attempt.request
-        if request.client_left_at is not None:
-            if now > request.client_left_at + CLIENT_DISCONNECT_SLACK_MS:
+        if request.client_disconnected_at is not None:
+            if now > request.client_disconnected_at + CLIENT_DISCONNECT_SLACK_MS:
                 report_violation(Invariant.NOT_SENT_AFTER_CLIENT_DISCONNECT, request, attempt=attempt.number)
         elif request.finished:
             report_violation(Invariant.NOT_SENT_AFTER_ANSWER, request, attempt=attempt.number)
--- a/lupinladder/net/pending_request.py
+++ b/lupinladder/net/pending_request.py
@@ -50,7 +50,7 @@
     handler: ResponseHandler | None  # None once the request is finished
     attempts: list[Attempt] = field(default_factory=list)
     finished: bool = False  # it has its final answer, or its client has disconnected
-    client_left_at: float | None = None
+    client_disconnected_at: float | None = None
     received_at: float = 0.0
     overdue_timer: Timer | None = None  # fails the request if it has no answer shortly after its deadline
 
--- a/lupinladder/net/request_dispatcher.py
+++ b/lupinladder/net/request_dispatcher.py
@@ -132,7 +132,7 @@
         """Finish a request whose client has disconnected: it needs no answer any more."""
         if not request.finished:
             metrics.requests_abandoned += 1
-            request.client_left_at = self._loop.now()
+            request.client_disconnected_at = self._loop.now()
             outstanding = [attempt for attempt in request.attempts if not attempt.finished]
             self._requests.finish(request)
             self.notify(ClientDisconnected(request.request_id))
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -59,7 +59,7 @@
             now,
             forwarded_deadline,
             server_retired_at,
-            client_disconnected_at,
+            disconnected_at,
             expected,
         ) in (
             (READ, (), 100, 500, None, None, []),
@@ -84,8 +84,8 @@
                 request = make_request(name)
                 for sent_at, outcome in earlier_attempts:
                     add_attempt(request, sent_at, outcome)
-                request.client_left_at = client_disconnected_at
-                request.finished = client_disconnected_at is not None
+                request.client_disconnected_at = disconnected_at
+                request.finished = disconnected_at is not None
                 attempt = add_attempt(request, None, None)
                 self.monitor.check_send(attempt, forwarded_deadline, server_retired_at, now)
                 self.assertEqual(self.take_violations(), expected)
