--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -31,7 +31,7 @@
     REJECTED_ONLY_IF_RETRY_SAFE = "rejected_truly"  # as a rejection promises
     NOT_SENT_AFTER_ANSWER = "not_sent_after_answer"
     NOT_SENT_AFTER_CLIENT_DISCONNECT = "not_sent_after_client_left"
-    NOT_SENT_TO_LEAVING_SERVER = "not_sent_to_leaving_server"
+    NOT_SENT_TO_RETIRED_SERVER = "not_sent_to_leaving_server"
     ONE_ATTEMPT_AT_A_TIME = "one_attempt_at_a_time"
     RETRIED_AS_PERMITTED = "repeated_as_permitted"
     FORWARDED_DEADLINE_NOT_TOO_LONG = "deadline_told_truly"
@@ -54,12 +54,12 @@
         self._settings = settings
 
     def check_send(
-        self, attempt: Attempt, told_deadline: float, leaving_since: float | None, now: float
+        self, attempt: Attempt, told_deadline: float, server_retired_at: float | None, now: float
     ) -> None:
         """Check an attempt whose first byte is about to be written at `now`.
 
-        `told_deadline` is the forwarded deadline, in ms from now. `leaving_since` is when the proxy learned
-        that the server is retired.
+        `told_deadline` is the forwarded deadline, in ms from now. `server_retired_at` is when the proxy
+        learned that the server is retired.
         """
         request = attempt.request
         if request.client_disconnected_at is not None:
@@ -67,8 +67,8 @@
                 report_violation(Invariant.NOT_SENT_AFTER_CLIENT_DISCONNECT, request, attempt=attempt.number)
         elif request.finished:
             report_violation(Invariant.NOT_SENT_AFTER_ANSWER, request, attempt=attempt.number)
-        if leaving_since is not None and now > leaving_since + self._settings.drain_grace_period:
-            report_violation(Invariant.NOT_SENT_TO_LEAVING_SERVER, request, attempt=attempt.number)
+        if server_retired_at is not None and now > server_retired_at + self._settings.drain_grace_period:
+            report_violation(Invariant.NOT_SENT_TO_RETIRED_SERVER, request, attempt=attempt.number)
         if told_deadline > request.deadline - now + DEADLINE_SLACK_MS:
             report_violation(Invariant.FORWARDED_DEADLINE_NOT_TOO_LONG, request, told=round(told_deadline))
         if len(request.attempts) > 1:
--- a/lupinladder/net/send_guard.py
+++ b/lupinladder/net/send_guard.py
@@ -21,18 +21,18 @@
     """Why an attempt is not sent, or the rest of it is not written."""
 
     REQUEST_FINISHED = "request_finished"  # it has its final answer, or its client has disconnected
-    SERVER_LEAVING = "server_leaving"  # the server is draining, removed, moved or restarted
+    SERVER_RETIRED = "server_leaving"  # the server is draining, removed, moved or restarted
     WINDOW_OVER = "window_over"  # after the deduplication window a server executes a retry again
     DEADLINE_OVER = "deadline_over"
     WRITE_OVERDUE = "write_overdue"  # its last byte would be written too long after its first
 
 
-def refuse_send(attempt: Attempt, is_server_leaving: bool, now: float) -> SendRefusal | None:
+def refuse_send(attempt: Attempt, is_server_retired: bool, now: float) -> SendRefusal | None:
     """Return why the first byte of an attempt must not be written at `now` (ms), or None if it may be."""
     if attempt.request.finished:
         return SendRefusal.REQUEST_FINISHED
-    if is_server_leaving:
-        return SendRefusal.SERVER_LEAVING
+    if is_server_retired:
+        return SendRefusal.SERVER_RETIRED
     if now >= attempt.start_by:
         return SendRefusal.WINDOW_OVER
     if now >= attempt.deadline:
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -116,7 +116,7 @@
         for finished, is_retired, now, send_refused_for, rest_refused_for in (
             (False, False, 0, None, None),
             (True, False, 0, SendRefusal.REQUEST_FINISHED, SendRefusal.REQUEST_FINISHED),
-            (False, True, 0, SendRefusal.SERVER_LEAVING, None),
+            (False, True, 0, SendRefusal.SERVER_RETIRED, None),
             (False, False, 1000, SendRefusal.WINDOW_OVER, SendRefusal.WINDOW_OVER),
             (False, False, 600, SendRefusal.DEADLINE_OVER, SendRefusal.WRITE_OVERDUE),
             (False, False, MAX_WRITE_TIME_MS, None, SendRefusal.WRITE_OVERDUE),
