--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -54,12 +54,12 @@
         self._settings = settings
 
     def check_send(
-        self, attempt: Attempt, told_deadline: float, server_retired_at: float | None, now: float
+        self, attempt: Attempt, forwarded_deadline: float, server_retired_at: float | None, now: float
     ) -> None:
         """Check an attempt whose first byte is about to be written at `now`.
 
-        `told_deadline` is the forwarded deadline, in ms from now. `server_retired_at` is when the proxy
-        learned that the server is retired.
+        `forwarded_deadline` is the deadline that is sent to the server, in ms from now; `server_retired_at`
+        is when the proxy learned that the server is retired.
         """
         request = attempt.request
         if request.client_disconnected_at is not None:
@@ -69,8 +69,10 @@
             report_violation(Invariant.NOT_SENT_AFTER_ANSWER, request, attempt=attempt.number)
         if server_retired_at is not None and now > server_retired_at + self._settings.drain_grace_period:
             report_violation(Invariant.NOT_SENT_TO_RETIRED_SERVER, request, attempt=attempt.number)
-        if told_deadline > request.deadline - now + DEADLINE_SLACK_MS:
-            report_violation(Invariant.FORWARDED_DEADLINE_NOT_TOO_LONG, request, told=round(told_deadline))
+        if forwarded_deadline > request.deadline - now + DEADLINE_SLACK_MS:
+            report_violation(
+                Invariant.FORWARDED_DEADLINE_NOT_TOO_LONG, request, told=round(forwarded_deadline)
+            )
         if len(request.attempts) > 1:
             self._check_retry(attempt, now)
 
