--- a/lupinladder/net/connection_pool.py
+++ b/lupinladder/net/connection_pool.py
@@ -11,7 +11,7 @@
 from lupinladder.net.metrics import metrics
 from lupinladder.net.pending_request import Attempt
 from lupinladder.net.reuse_policy import ReusePolicy
-from lupinladder.net.send_guard import refuse_send
+from lupinladder.net.send_guard import send_refusal
 from lupinladder.net.upstream_connection import UpstreamConnection
 from lupinladder.net.upstream_protocol import UpstreamProtocol
 
@@ -88,7 +88,7 @@
 
     def may_send(self, attempt: Attempt) -> bool:
         """Whether the first byte of an attempt may be written now; a refusal is counted."""
-        refusal = refuse_send(attempt, self._retired_at is not None, self.loop.now())
+        refusal = send_refusal(attempt, self._retired_at is not None, self.loop.now())
         if refusal is None:
             return True
         metrics.sends_refused[refusal] += 1
--- a/lupinladder/net/send_guard.py
+++ b/lupinladder/net/send_guard.py
@@ -27,7 +27,7 @@
     WRITE_OVERDUE = "write_overdue"  # its last byte would be written too long after its first
 
 
-def refuse_send(attempt: Attempt, is_server_retired: bool, now: float) -> SendRefusal | None:
+def send_refusal(attempt: Attempt, is_server_retired: bool, now: float) -> SendRefusal | None:
     """Return why the first byte of an attempt must not be written at `now` (ms), or None if it may be."""
     if attempt.request.finished:
         return SendRefusal.REQUEST_FINISHED
@@ -40,21 +40,21 @@
     return None
 
 
-def refuse_more(attempt: Attempt, begun_at: float, now: float) -> SendRefusal | None:
+def continue_refusal(attempt: Attempt, write_started_at: float, now: float) -> SendRefusal | None:
     """Return why the rest of an attempt must not be written at `now` (ms), or None if it may be.
 
-    The first byte was written at `begun_at`. That the server was retired since then is no reason: by the
-    rules for draining, an attempt is sent when its first byte is.
+    The first byte was written at `write_started_at`. That the server was retired since then is no reason: by
+    the rules for draining, an attempt is sent when its first byte is.
     """
     if attempt.request.finished:
         return SendRefusal.REQUEST_FINISHED
     if now >= attempt.start_by:
         return SendRefusal.WINDOW_OVER
-    if now - begun_at >= MAX_WRITE_TIME_MS:
+    if now - write_started_at >= MAX_WRITE_TIME_MS:
         return SendRefusal.WRITE_OVERDUE
     return None
 
 
-def write_by(attempt: Attempt, begun_at: float) -> float:
+def write_by(attempt: Attempt, write_started_at: float) -> float:
     """Return the time in ms by which the last byte must be written."""
-    return min(attempt.start_by, begun_at + MAX_WRITE_TIME_MS)
+    return min(attempt.start_by, write_started_at + MAX_WRITE_TIME_MS)
--- a/lupinladder/net/upstream_connection.py
+++ b/lupinladder/net/upstream_connection.py
@@ -14,7 +14,7 @@
 from lupinladder.net.metrics import metrics
 from lupinladder.net.pending_request import Attempt
 from lupinladder.net.resp import FramingError
-from lupinladder.net.send_guard import SendRefusal, refuse_more, write_by
+from lupinladder.net.send_guard import SendRefusal, continue_refusal, write_by
 from lupinladder.net.upstream_protocol import UpstreamProtocolError
 from lupinladder.net.upstream_reply import UpstreamReply
 
@@ -142,7 +142,7 @@
         partial = next((one for one in self.in_flight if self.connection.bytes_sent < one.end_offset), None)
         if partial is None or partial.attempt is None:
             return True  # abandoned ones are counted as run, and others wait behind them
-        refusal = refuse_more(partial.attempt, partial.begun_at, self._pool.loop.now())
+        refusal = continue_refusal(partial.attempt, partial.begun_at, self._pool.loop.now())
         if refusal is None:
             return True
         self._refuse_rest(refusal)
--- a/tests/net/test_invariants.py
+++ b/tests/net/test_invariants.py
@@ -10,7 +10,7 @@
 from lupinladder.net.invariants import InvariantMonitor
 from lupinladder.net.metrics import Metrics
 from lupinladder.net.pending_request import Attempt, PendingRequest
-from lupinladder.net.send_guard import MAX_WRITE_TIME_MS, SendRefusal, refuse_more, refuse_send
+from lupinladder.net.send_guard import MAX_WRITE_TIME_MS, SendRefusal, continue_refusal, send_refusal
 
 CLASSES = ["read", "edit", "claim"]
 SETTINGS = Settings(
@@ -125,5 +125,5 @@
                 request = make_request(READ)
                 request.finished = finished
                 attempt = add_attempt(request, None, None)
-                self.assertEqual(refuse_send(attempt, is_retired, now), send_refused_for)
-                self.assertEqual(refuse_more(attempt, 0.0, now), rest_refused_for)
+                self.assertEqual(send_refusal(attempt, is_retired, now), send_refused_for)
+                self.assertEqual(continue_refusal(attempt, 0.0, now), rest_refused_for)
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -298,7 +298,7 @@
         self.until(lambda: self.engine.is_idle, "its leaving")
         self.links[NODE].retire()
         self.stand_still(200)
-        with mock.patch("lupinladder.net.connection_pool.refuse_send", lambda *_: None):
+        with mock.patch("lupinladder.net.connection_pool.send_refusal", lambda *_: None):
             delayed.release()
             self.at_node()
         self.assertEqual(
