--- a/lupinladder/net/client_connection.py
+++ b/lupinladder/net/client_connection.py
@@ -243,7 +243,7 @@
     def _close_gracefully(self, reason: CloseReason) -> None:
         if self._pending_replies:
             report_violation(
-                Invariant.CLOSED_OWING_NOTHING, reason=reason, replies=len(self._pending_replies)
+                Invariant.CLOSED_WITHOUT_PENDING_REPLY, reason=reason, replies=len(self._pending_replies)
             )
         if self in self._listener.clients:
             metrics.connections_closed[reason] += 1
--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -35,7 +35,7 @@
     ONE_ATTEMPT_AT_A_TIME = "one_attempt_at_a_time"
     RETRIED_AS_PERMITTED = "repeated_as_permitted"
     FORWARDED_DEADLINE_NOT_TOO_LONG = "deadline_told_truly"
-    CLOSED_OWING_NOTHING = "closed_owing_nothing"
+    CLOSED_WITHOUT_PENDING_REPLY = "closed_owing_nothing"
 
 
 def report_violation(invariant: Invariant, request: PendingRequest | None = None, **facts: object) -> None:
