--- a/lupinladder/net/pending_request.py
+++ b/lupinladder/net/pending_request.py
@@ -20,8 +20,8 @@
     def on_served(self, value: bytes) -> None:
         """The request was served with this value."""
 
-    def on_rejected(self, wait: float) -> None:
-        """The request was not served; a retry does no harm and should come after `wait` ms."""
+    def on_rejected(self, retry_after: float) -> None:
+        """The request was not served; a retry does no harm and should come after `retry_after` ms."""
 
     def on_failed(self) -> None:
         """The request was not served; it may have taken effect all the same."""
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -143,8 +143,8 @@
     def on_served(self, value: bytes) -> None:
         self.told.append(value)
 
-    def on_rejected(self, wait: float) -> None:
-        self.told.append(wait)
+    def on_rejected(self, retry_after: float) -> None:
+        self.told.append(retry_after)
 
     def on_failed(self) -> None:
         self.told.append("failed")
