--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -20,7 +20,7 @@
 # Of the outbox: the largest answer and its framing, since it is put in whole.
 MAX_OUTBOX_BYTES = (1 << 20) + 1024
 MAX_READS_PER_EVENT = 4  # from one connection in a turn, so that none holds up the others
-MAX_READS_IN_LATE_TURN = 64  # the same in a turn in which what is ready may lie unread for long
+MAX_READS_IN_LATE_ITERATION = 64  # the same in a turn in which what is ready may lie unread for long
 TCP_STATES_AFTER_PEERS_END = (7, 8, 9)  # closed, close-wait, last-ack: the first byte of TCP_INFO, tcp(7)
 LINGER_MS = 1000.0  # how long a connection that we end is read from, while it takes no more bytes
 MAX_DISCARDED_BYTES = 256 << 10  # bytes read from such a connection until it is closed all the same
@@ -246,7 +246,7 @@
         it lies behind them, is known to whoever handles them.
         """
         received = False
-        for _ in range(MAX_READS_IN_LATE_TURN if self._loop.is_late else MAX_READS_PER_EVENT):
+        for _ in range(MAX_READS_IN_LATE_ITERATION if self._loop.is_late else MAX_READS_PER_EVENT):
             space = self.inbox.writable_view()
             if not len(space):
                 break
--- a/lupinladder/net/discovery/endpoint_list_applier.py
+++ b/lupinladder/net/discovery/endpoint_list_applier.py
@@ -80,17 +80,17 @@
         self._arrivals: dict[ServerId, _Arrival] = {}
         self._working = False
         self._resuming = False  # work goes on at the end of this turn, or in the next one
-        self._turn_worked_in = -inf  # when the turn began in which the last list was taken in at once
+        self._iteration_worked_in = -inf  # when the turn began in which the last list was taken in at once
 
     def submit(self, received: ReceivedList) -> None:
         """Take a list in: a short one at once, a long one in this turn of the loop and the next ones."""
         self._received.append(received)
         if self._working:
             return  # applying a list has brought up another one
-        is_first_of_turn = self._turn_worked_in != self._loop.turn_began_at
-        stop_at = self._loop.turn_began_at + APPLY_TIME_MS
-        if is_first_of_turn or self._loop.now() < stop_at or self._is_overdue:
-            self._turn_worked_in = self._loop.turn_began_at
+        is_first_of_iteration = self._iteration_worked_in != self._loop.iteration_started_at
+        stop_at = self._loop.iteration_started_at + APPLY_TIME_MS
+        if is_first_of_iteration or self._loop.now() < stop_at or self._is_overdue:
+            self._iteration_worked_in = self._loop.iteration_started_at
             self._work(stop_at)
         else:
             self._work_on_later()
--- a/lupinladder/net/event_loop.py
+++ b/lupinladder/net/event_loop.py
@@ -15,7 +15,7 @@
 
 from lupinladder.net.log import format_traceback, log_event
 from lupinladder.net.metrics import metrics
-from lupinladder.net.turn_monitor import TurnMonitor, TurnRecord
+from lupinladder.net.turn_monitor import IterationMonitor, IterationRecord
 from lupinladder.net.wall_clock import WallClock
 
 # The process counts as stalled if a wait lasts so many ms longer than requested: this is the slack that the
@@ -23,7 +23,7 @@
 STALL_THRESHOLD_MS = 50.0
 # Maximum time in ms for which a client's disconnect may lie unread while something is sent for that client:
 # half of the time after which the rules count that as a lost request.
-LATE_TURN_MS = 50.0
+LATE_ITERATION_MS = 50.0
 # Maximum time in ms that an iteration spends on each of sockets, timers and deferred calls; the callback
 # that is running at its end is completed. The remaining ones come first in the next iteration, so that none
 # of the three waits until all of the others' work is done.
@@ -67,13 +67,14 @@
         self._last_sequence_number = 0
         self._running = True
         self._endpoint_list_socket_count = 0  # most iterations need no sorting without one
-        self._selected_at = self.now()
+        self._iteration_started_at = self.now()
         self._postponed_descriptors: set[int] = set()  # they were ready and wait for the next iteration
-        self._postponed_since = self._selected_at  # the earliest time at which one may have become ready
+        # The earliest time at which one of them may have become ready.
+        self._postponed_since = self._iteration_started_at
         # Maximum time in ms for which bytes read in this iteration may have been waiting when it started.
         self.unread_time = 0.0
-        self._turn_monitor = TurnMonitor()
-        self._turn: TurnRecord | None = None  # the current iteration, or the last one
+        self._iteration_monitor = IterationMonitor()
+        self._iteration: IterationRecord | None = None  # the current iteration, or the last one
 
     def now(self) -> float:
         """Return the loop's time in ms: Unix time at its start, monotonic since then."""
@@ -129,18 +130,18 @@
     def is_late(self) -> bool:
         """Whether sockets that are ready in this iteration may have been ready for too long: for longer than
         a client's disconnect may lie unread before something is sent for that client."""
-        return self.unread_time > LATE_TURN_MS
+        return self.unread_time > LATE_ITERATION_MS
 
     @property
-    def turn_began_at(self) -> float:
+    def iteration_started_at(self) -> float:
         """When the current iteration started to handle ready sockets, in ms."""
-        return self._selected_at
+        return self._iteration_started_at
 
     def run_once(self) -> None:
         """Run one iteration: wait for a socket or a timer, then handle everything that is due."""
         wait_started_at = self.now()
-        if self._turn is not None:
-            self._turn_monitor.record(self._turn, wait_started_at)
+        if self._iteration is not None:
+            self._iteration_monitor.record(self._iteration, wait_started_at)
         max_wait = self._time_until_next(wait_started_at)
         ready = self._selector.select(None if max_wait == inf else max_wait / 1000)
         started_at = self.now()
@@ -149,18 +150,18 @@
         # A socket that is ready now became ready after the previous wait ended. The time of this wait does
         # not count, as a ready socket ends it; the time by which it was overrun does.
         if not self._postponed_descriptors:
-            self._postponed_since = self._selected_at
+            self._postponed_since = self._iteration_started_at
         self.unread_time = wait_started_at - self._postponed_since + overrun
-        self._selected_at = started_at
+        self._iteration_started_at = started_at
         if overrun > STALL_THRESHOLD_MS or self.is_late:
             # The process was stalled: more sockets are ready by now than those that ended the wait.
             ready = self._selector.select(0)
-        self._turn = TurnRecord(started_at, sockets=len(ready), deferred=len(self._deferred_calls))
+        self._iteration = IterationRecord(started_at, sockets=len(ready), deferred=len(self._deferred_calls))
         self._handle_ready_sockets(ready)
-        self._turn.timers_began_at = self.now()
-        self._turn.timers = self._run_due_timers(self._turn.timers_began_at)
-        self._turn.deferred_began_at = self.now()
-        self._run_deferred_calls(self._turn.deferred_began_at)
+        self._iteration.timers_started_at = self.now()
+        self._iteration.timers = self._run_due_timers(self._iteration.timers_started_at)
+        self._iteration.deferred_started_at = self.now()
+        self._run_deferred_calls(self._iteration.deferred_started_at)
 
     def _time_until_next(self, now: float) -> float:
         """Return how long an iteration may wait for sockets, in ms: at most until the first timer is due."""
@@ -181,7 +182,7 @@
             elif self._endpoint_list_socket_count or self._postponed_descriptors:
                 ready.sort(key=self._handling_order)
         self._postponed_descriptors = set()
-        stop_at = self._selected_at + MAX_PHASE_TIME_MS
+        stop_at = self._iteration_started_at + MAX_PHASE_TIME_MS
         for index, (key, mask) in enumerate(ready):
             if index and not self.is_late and self.now() >= stop_at:
                 self._postponed_descriptors = {remaining_key.fd for remaining_key, _ in ready[index:]}
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -62,7 +62,7 @@
             client.conn.send(get(request_id))
             count = len(self.script.events)
             while len(self.script.events) == count:
-                self.loop._selected_at -= latency
+                self.loop._iteration_started_at -= latency
                 self.loop.run_once()
             [request] = [e for e in self.script.events[count:] if isinstance(e, RequestReceived)]
             self.assertTrue(max(timeout - 20, 1) <= request.timeout <= timeout, request.timeout)
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -76,7 +76,7 @@
         for number, client in enumerate(clients):
             self.addCleanup(client.close)
             client.sendall(get(b"%c" % (33 + number), 900))
-        self.loop._selected_at = self.loop.now()
+        self.loop._iteration_started_at = self.loop.now()
         self.stand_still(self.STALL_MS)
         self.until(lambda: len(self.script.events) >= len(clients), "the requests")
         asked = [event.timeout for event in self.script.events if isinstance(event, RequestReceived)]
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -128,6 +128,6 @@
             mock.patch.object(loop, "now", lambda: clock[0]),
             mock.patch.object(loop._selector, "select", select),
         ):
-            clock[0] = loop._selected_at = 4990
+            clock[0] = loop._iteration_started_at = 4990
             loop.run_once()
         self.assertEqual(order, ["list", "request"])
--- a/tests/net/test_event_loop_turns.py
+++ b/tests/net/test_event_loop_turns.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from lupinladder.net.connection import READ
-from lupinladder.net.event_loop import LATE_TURN_MS, MAX_PHASE_TIME_MS, EventLoop, WatchRank
+from lupinladder.net.event_loop import LATE_ITERATION_MS, MAX_PHASE_TIME_MS, EventLoop, WatchRank
 from lupinladder.net.metrics import metrics
 
 CALL_MS = 2.0  # duration of each callback
@@ -16,7 +16,7 @@
 CALLS_PER_PHASE = 3  # of 2 ms each: those that start within 5 ms
 
 
-class Turns(unittest.TestCase):
+class Iterations(unittest.TestCase):
     """A loop whose clock is only advanced by its callbacks."""
 
     def setUp(self) -> None:
@@ -25,7 +25,7 @@
         patched = mock.patch.object(self.loop, "now", lambda: self.clock)
         patched.start()
         self.addCleanup(patched.stop)
-        self.loop._selected_at = self.clock
+        self.loop._iteration_started_at = self.clock
         self.calls = list[str]()
 
     def callback(self, name: str) -> Callable[..., None]:
@@ -52,7 +52,7 @@
         self.loop.watch(sock, 0, READ, ready, rank)
         return peer
 
-    def turn(self) -> list[str]:
+    def run_iteration(self) -> list[str]:
         """Run one iteration; return the names of the callbacks that it ran."""
         self.calls.clear()
         self.loop.run_once()
@@ -62,13 +62,13 @@
         for number in range(CALL_COUNT):
             self.ready_socket(f"s{number}")
         self.loop.call_at(self.clock, self.callback("timer"))
-        first = self.turn()
+        first = self.run_iteration()
         self.assertEqual((len(first), first[-1]), (CALLS_PER_PHASE + 1, "timer"))
         self.ready_socket("new")
         self.ready_socket("list", WatchRank.ENDPOINT_LIST)
-        second = self.turn()
+        second = self.run_iteration()
         self.assertEqual(second[0], "list")
-        third = self.turn()
+        third = self.run_iteration()
         self.assertEqual(third[-1], "new")
         self.assertEqual(
             sorted([*first[:-1], *second[1:], *third[:-1]]), [f"s{n}" for n in range(CALL_COUNT)]
@@ -78,17 +78,17 @@
         for number in range(CALL_COUNT):
             self.loop.call_at(self.clock, self.callback(f"t{number}"))
             self.loop.call_soon(self.callback(f"d{number}"))
-        turns = [self.turn() for _ in range(3)]
-        self.assertEqual([names[0] for names in turns], ["t0", "t3", "t6"])
-        self.assertEqual([names[CALLS_PER_PHASE] for names in turns[:2]], ["d0", "d3"])
-        self.assertEqual([len(names) for names in turns], [6, 6, 2])
+        iterations = [self.run_iteration() for _ in range(3)]
+        self.assertEqual([names[0] for names in iterations], ["t0", "t3", "t6"])
+        self.assertEqual([names[CALLS_PER_PHASE] for names in iterations[:2]], ["d0", "d3"])
+        self.assertEqual([len(names) for names in iterations], [6, 6, 2])
 
     def test_a_late_iteration_handles_all_ready_sockets_clients_first(self) -> None:
         for number in range(CALL_COUNT):
             self.ready_socket(f"s{number}")
         self.ready_socket("client", WatchRank.CLIENT)
-        self.clock += LATE_TURN_MS + 1
-        calls = self.turn()
+        self.clock += LATE_ITERATION_MS + 1
+        calls = self.run_iteration()
         self.assertEqual((len(calls), calls[0]), (CALL_COUNT + 1, "client"))
 
     def test_a_slow_iteration_is_counted_and_its_duration_is_reported(self) -> None:
@@ -100,11 +100,11 @@
         self.loop.call_soon(stall)
         self.loop.call_soon(lambda: self.loop.call_soon(lambda: None))
         with mock.patch("builtins.print") as printed:
-            self.turn()
-            self.turn()
+            self.run_iteration()
+            self.run_iteration()
         self.assertEqual(metrics.slow_turns, previous_count + 1)
         self.assertGreaterEqual(metrics.longest_turn_ms, 400)
         self.assertIn("turn_slow ms=400", printed.call_args.args[0])
 
     def test_a_phase_is_short_compared_with_the_time_in_which_a_disconnect_must_be_handled(self) -> None:
-        self.assertLessEqual(3 * MAX_PHASE_TIME_MS, LATE_TURN_MS / 2)
+        self.assertLessEqual(3 * MAX_PHASE_TIME_MS, LATE_ITERATION_MS / 2)
