--- a/lupinladder/net/event_loop.py
+++ b/lupinladder/net/event_loop.py
@@ -13,9 +13,9 @@
 from math import inf
 from typing import NamedTuple
 
+from lupinladder.net.iteration_monitor import IterationMonitor, IterationRecord
 from lupinladder.net.log import format_traceback, log_event
 from lupinladder.net.metrics import metrics
-from lupinladder.net.turn_monitor import IterationMonitor, IterationRecord
 from lupinladder.net.wall_clock import WallClock
 
 # The process counts as stalled if a wait lasts so many ms longer than requested: this is the slack that the
