--- a/lupinladder/net/event_loop.py
+++ b/lupinladder/net/event_loop.py
@@ -24,9 +24,9 @@
 # Maximum time in ms for which a client's disconnect may lie unread while something is sent for that client:
 # half of the time after which the rules count that as a lost request.
 LATE_ITERATION_MS = 50.0
-# Maximum time in ms that an iteration spends on each of sockets, timers and deferred calls; the callback
-# that is running at its end is completed. The remaining ones come first in the next iteration, so that none
-# of the three waits until all of the others' work is done.
+# Maximum time in ms of each phase of an iteration: sockets, timers, deferred calls. A phase completes the
+# callback that is running when its time is over; the remaining ones come first in the next iteration. So no
+# phase has to wait for all of the work of another one.
 MAX_PHASE_TIME_MS = 5.0
 
 
@@ -42,7 +42,7 @@
     """The order in which sockets that are ready in the same iteration are handled."""
 
     ENDPOINT_LIST = 0  # first in every iteration: the list decides which servers may be used
-    CLIENT = 1  # before the rest in a late iteration: nothing may be sent for a client that has gone
+    CLIENT = 1  # before the rest in a late iteration: nothing may be sent for a client that has disconnected
     OTHER = 2
 
 
@@ -66,7 +66,7 @@
         self._deferred_calls: deque[Callable[[], object]] = deque()
         self._last_sequence_number = 0
         self._running = True
-        self._endpoint_list_socket_count = 0  # most iterations need no sorting without one
+        self._endpoint_list_socket_count = 0  # with none, most iterations need no sorting
         self._iteration_started_at = self.now()
         self._postponed_descriptors: set[int] = set()  # they were ready and wait for the next iteration
         # The earliest time at which one of them may have become ready.
--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -18,6 +18,7 @@
 LIMIT_SLACK_MS = 50.0  # that the rules on sockets add to each time limit (PROTOCOL)
 CLIENT_DISCONNECT_SLACK_MS = 100.0  # in which an attempt may still start
 DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may be too long
+# Outcomes which prove that the server did not execute the attempt.
 NOT_EXECUTED_OUTCOMES = frozenset(
     {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS}
 )
--- a/lupinladder/net/pending_request.py
+++ b/lupinladder/net/pending_request.py
@@ -24,7 +24,7 @@
         """The request was not served; a retry does no harm and should come after `retry_after` ms."""
 
     def on_failed(self) -> None:
-        """The request was not served; it may have taken effect all the same."""
+        """The request was not served, but it may have had effects."""
 
 
 class AttemptExecutor(Protocol):
--- a/lupinladder/net/request_dispatcher.py
+++ b/lupinladder/net/request_dispatcher.py
@@ -272,8 +272,8 @@
             self._abandon_attempt(attempt, Outcome.RESET)
 
     def _abandon_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt. One that expires before it was sent has not been executed, and its
-        outcome says so."""
+        """Stop waiting for an attempt. One that expires before it was sent was not executed, so its outcome
+        is CONNECT_FAILED."""
         if attempt.finished or attempt.executor is None:
             return
         attempt.executor.abandon(attempt)
