--- a/lupinladder/__main__.py
+++ b/lupinladder/__main__.py
@@ -1,4 +1,4 @@
-"""The program: `python -m lupinladder` is one proxy; with arguments, `lupinladder` is the command line."""
+"""The program. `python -m lupinladder` runs one proxy; `lupinladder` with arguments is the command line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lupinladder.net import config
 from lupinladder.net.client_listener import open_listening_socket
 from lupinladder.net.event_loop import EventLoop
-from lupinladder.net.log import log_event, unblock_output
+from lupinladder.net.log import log_event, set_output_nonblocking
 from lupinladder.net.metrics import metrics
 from lupinladder.proxy import Proxy
 from lupinladder.signals import SignalReceiver
@@ -18,24 +18,24 @@
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
 
-# A full walk of the garbage collector comes with 25,000 objects more than were freed, not with 20 million:
-# what is left in cycles (a parser of HTTP and its reader) must not pile up.
+# A full garbage collection runs once 25,000 more objects were created than freed, not only at 20 million:
+# unreachable reference cycles (such as an HTTP parser and its reader) must not accumulate.
 GC_THRESHOLDS = (1_000, 5, 5)
 
 
 def main() -> int:
-    """Run one proxy until it is told to stop; the process's exit code."""
-    unblock_output()
+    """Run one proxy until it is stopped; return the exit code of the process."""
+    set_output_nonblocking()
     try:
-        signals = retry_start(SignalReceiver)  # first of all: without a handler SIGHUP ends the process
-        conf = retry_start(lambda: config.load(os.environ), lambda: signals.is_stop_pending)
+        signals = retry_start(SignalReceiver)  # first, as SIGHUP ends a process without a handler
+        proxy_config = retry_start(lambda: config.load(os.environ), lambda: signals.is_stop_pending)
         operator = config.load_operator_settings(os.environ)
-        # These may fail for a moment. The rest is made once: it calls discovery and holds the store.
+        # These may fail for a moment. The proxy is created only once: it calls discovery and opens the store.
         loop = retry_start(EventLoop)
         listening_socket = retry_start(
-            lambda: open_listening_socket(conf.listen_address), lambda: signals.is_stop_pending
+            lambda: open_listening_socket(proxy_config.listen_address), lambda: signals.is_stop_pending
         )
-        proxy = Proxy(conf, loop, listening_socket, operator)
+        proxy = Proxy(proxy_config, loop, listening_socket, operator)
     except (config.ConfigError, OSError) as error:
         print(f"lupinladder: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
@@ -47,16 +47,16 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Keep the collector from walking, again and again, what the start leaves for good."""
+    """Exclude the objects of the start, which are kept until the end, from all later collections."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def entry() -> int:
-    """The installed command: with no argument the proxy, as the platform starts it; else the command line."""
+    """Entry point of the installed command: the command line if there are arguments, else the proxy."""
     if len(sys.argv) > 1:
-        from lupinladder.cli.app import app  # which the platform's start never imports
+        from lupinladder.cli.app import app  # never imported when the platform starts the proxy
 
         app(prog_name="lupinladder")
     return main()
--- a/lupinladder/net/discovery/endpoint_list_applier.py
+++ b/lupinladder/net/discovery/endpoint_list_applier.py
@@ -88,10 +88,10 @@
         self._received.append(received)
         if self._is_running:
             return  # a step has received another list; the loop in `_run_steps` will read it
-        is_first_in_iteration = self._last_iteration_started_at != self._loop.turn_began_at
-        stop_at = self._loop.turn_began_at + APPLY_TIME_MS
+        is_first_in_iteration = self._last_iteration_started_at != self._loop.iteration_started_at
+        stop_at = self._loop.iteration_started_at + APPLY_TIME_MS
         if is_first_in_iteration or self._loop.now() < stop_at or self._is_overdue:
-            self._last_iteration_started_at = self._loop.turn_began_at
+            self._last_iteration_started_at = self._loop.iteration_started_at
             self._run_steps(stop_at)
         else:
             self._schedule_resume()
--- a/lupinladder/net/event_loop.py
+++ b/lupinladder/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: one selector, one clock, one sorted list of timers."""
+"""The event loop: one selector, one monotonic clock and one sorted list of timers."""
 
 from __future__ import annotations
 
@@ -13,217 +13,227 @@
 from math import inf
 from typing import NamedTuple
 
+from lupinladder.net.iteration_monitor import IterationMonitor, IterationRecord
 from lupinladder.net.log import format_traceback, log_event
 from lupinladder.net.metrics import metrics
-from lupinladder.net.turn_monitor import TurnMonitor, TurnRecord
 from lupinladder.net.wall_clock import WallClock
 
-# Time beyond what was asked for, after which the process counts as having stood still: the slack that the
-# rules give each time limit (PROTOCOL).
+# The process counts as stalled if a wait lasts so many ms longer than requested: this is the slack that the
+# rules add to each time limit (PROTOCOL).
 STALL_THRESHOLD_MS = 50.0
-# For so long at most the end of a client may lie unread beside what is sent for it: half of the time after
-# which that counts as a lost request.
-LATE_TURN_MS = 50.0
-# A turn looks after sockets for so long, and one more; those that are left come first in the next one. The
-# same holds for timers and for deferred calls. So nothing waits for all that has come at once.
-PHASE_TIME_MS = 5.0
+# Maximum time in ms for which a client's disconnect may lie unread while something is sent for that client:
+# half of the time after which the rules count that as a lost request.
+LATE_ITERATION_MS = 50.0
+# Maximum time in ms of each phase of an iteration: sockets, timers, deferred calls. A phase completes the
+# callback that is running when its time is over; the remaining ones come first in the next iteration. So no
+# phase has to wait for all of the work of another one.
+MAX_PHASE_TIME_MS = 5.0
 
 
 class Timer(NamedTuple):
-    """A callback at a time. Timers sort by their time, then in the order in which they were set."""
+    """A callback and its due time. Timers sort by due time, then by the order in which they were set."""
 
-    when: float  # ms on the loop's clock
-    number: int  # never used twice, so that a comparison never reaches the callback
+    due_at: float  # ms on the loop's clock
+    sequence_number: int  # unique, so that a comparison never reaches the callback
     callback: Callable[[], object]
 
 
 class WatchRank(IntEnum):
-    """Whose sockets are looked after before others that are ready in the same turn."""
+    """The order in which sockets that are ready in the same iteration are handled."""
 
-    ENDPOINT_LIST = 0  # what it brings decides what may be done with all others, in each turn
-    CLIENT = 1  # the end of a client decides what may be sent for it, in a late turn
+    ENDPOINT_LIST = 0  # first in every iteration: the list decides which servers may be used
+    CLIENT = 1  # before the rest in a late iteration: nothing may be sent for a client that has disconnected
     OTHER = 2
 
 
 class Watcher(NamedTuple):
-    """What the loop does for a socket that is ready."""
+    """The callback of a watched socket, and its rank."""
 
     ready: Callable[[int], None]
     rank: WatchRank
 
 
 class EventLoop:
-    """Runs callbacks for ready sockets and for timers that are due. Nothing here may block."""
+    """Runs callbacks for ready sockets and for due timers. No callback may block."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
-        # Monotonic milliseconds, anchored once to Unix time: a step of the system's clock moves nothing.
-        # Times that others read off that clock are converted by `wall_clock`.
+        # The loop's clock is monotonic, in ms, and was set to Unix time once: steps of the system's clock do
+        # not change it. `wall_clock` converts times that were read from the system's clock.
         self.wall_clock = WallClock()
         self._clock_offset_ms = (time.time() - time.monotonic()) * 1000
         self._timers: list[Timer] = []  # sorted
-        self._soon: deque[Callable[[], object]] = deque()
-        self._last_timer_number = 0
+        self._deferred_calls: deque[Callable[[], object]] = deque()
+        self._last_sequence_number = 0
         self._running = True
-        self._list_watchers = 0  # sockets of the first rank: in most turns there is nothing to sort
-        self._selected_at = self.now()
-        self._postponed: set[int] = set()  # descriptors that were ready and left for the next turn
-        self._postponed_since = self._selected_at  # when the first of them was looked for
-        # Ms for which bytes that are read in this turn may have lain unread when it began.
+        self._endpoint_list_socket_count = 0  # with none, most iterations need no sorting
+        self._iteration_started_at = self.now()
+        self._postponed_descriptors: set[int] = set()  # they were ready and wait for the next iteration
+        # The earliest time at which one of them may have become ready.
+        self._postponed_since = self._iteration_started_at
+        # Maximum time in ms for which bytes read in this iteration may have been waiting when it started.
         self.unread_time = 0.0
-        self._turn_monitor = TurnMonitor()
-        self._turn: TurnRecord | None = None  # the one that is running, or the last one
+        self._iteration_monitor = IterationMonitor()
+        self._iteration: IterationRecord | None = None  # the current iteration, or the last one
 
     def now(self) -> float:
-        """The loop's time in ms: Unix time at its start, monotonic since."""
+        """Return the loop's time in ms: Unix time at its start, monotonic since then."""
         return time.monotonic() * 1000 + self._clock_offset_ms
 
-    def call_at(self, when: float, callback: Callable[[], object]) -> Timer:
-        """Call at this time, in ms; the result names the timer for `cancel`."""
-        self._last_timer_number += 1
-        timer = Timer(when, self._last_timer_number, callback)
+    def call_at(self, due_at: float, callback: Callable[[], object]) -> Timer:
+        """Call `callback` at this time, in ms; the returned timer can be passed to `cancel`."""
+        self._last_sequence_number += 1
+        timer = Timer(due_at, self._last_sequence_number, callback)
         insort(self._timers, timer)
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Forget a timer. One that has fired, or none, is no fault."""
+        """Cancel a timer. None and a timer that has already fired are accepted."""
         if timer is None:
             return
-        place = bisect_left(self._timers, timer)
-        if place < len(self._timers) and self._timers[place] is timer:
-            del self._timers[place]
+        index = bisect_left(self._timers, timer)
+        if index < len(self._timers) and self._timers[index] is timer:
+            del self._timers[index]
 
     def call_soon(self, callback: Callable[[], object]) -> None:
-        """Call after the callbacks now running, so that none is entered from within another."""
-        self._soon.append(callback)
+        """Call after the callbacks that are running now, so that none is entered from within another."""
+        self._deferred_calls.append(callback)
 
     def watch(
         self,
         sock: socket.socket,
-        old: int,
-        new: int,
-        ready: Callable[[int], None],
+        old_events: int,
+        new_events: int,
+        on_ready: Callable[[int], None],
         rank: WatchRank = WatchRank.OTHER,
     ) -> None:
-        """Change what a socket is watched for: bits of selectors.EVENT_READ and EVENT_WRITE. `ready` is
-        called with the bits that came true.
+        """Change the events that a socket is watched for: bits of selectors.EVENT_READ and EVENT_WRITE.
 
-        A list of endpoints is looked after first of all: without that a process that stood still would send
-        on, by the list it had, whatever has come meanwhile, with the new list unread beside it.
+        `on_ready` is called with the bits of the events that have occurred. Endpoint lists are handled first:
+        otherwise a process that was suspended would send the requests that have arrived meanwhile by its old
+        list, while the new one lies unread.
 
         Raises OSError if the system has no memory to watch one more socket.
         """
-        if old == new:
+        if old_events == new_events:
             return
-        if not old:
-            self._selector.register(sock, new, Watcher(ready, rank))
-            self._list_watchers += rank is WatchRank.ENDPOINT_LIST
-        elif new:
-            self._selector.modify(sock, new, Watcher(ready, rank))
+        if not old_events:
+            self._selector.register(sock, new_events, Watcher(on_ready, rank))
+            self._endpoint_list_socket_count += rank is WatchRank.ENDPOINT_LIST
+        elif new_events:
+            self._selector.modify(sock, new_events, Watcher(on_ready, rank))
         else:
             self._selector.unregister(sock)
-            self._list_watchers -= rank is WatchRank.ENDPOINT_LIST
+            self._endpoint_list_socket_count -= rank is WatchRank.ENDPOINT_LIST
 
     @property
     def is_late(self) -> bool:
-        """Whether what is ready in this turn may have been so for longer than a client's end may stay unseen
-        before something is sent for it."""
-        return self.unread_time > LATE_TURN_MS
+        """Whether sockets that are ready in this iteration may have been ready for too long: for longer than
+        a client's disconnect may lie unread before something is sent for that client."""
+        return self.unread_time > LATE_ITERATION_MS
 
     @property
-    def turn_began_at(self) -> float:
-        """When the turn that is running began to look after what was ready, in ms."""
-        return self._selected_at
+    def iteration_started_at(self) -> float:
+        """When the current iteration started to handle ready sockets, in ms."""
+        return self._iteration_started_at
 
     def run_once(self) -> None:
-        """One turn: wait for the next thing to do and do all that is due."""
-        asked_at = self.now()
-        if self._turn is not None:
-            self._turn_monitor.record(self._turn, asked_at)
-        wait = self._time_until_next(asked_at)
-        ready = self._selector.select(None if wait == inf else wait / 1000)
+        """Run one iteration: wait for a socket or a timer, then handle everything that is due."""
+        wait_started_at = self.now()
+        if self._iteration is not None:
+            self._iteration_monitor.record(self._iteration, wait_started_at)
+        max_wait = self._time_until_next(wait_started_at)
+        ready = self._selector.select(None if max_wait == inf else max_wait / 1000)
         started_at = self.now()
         self.wall_clock.observe(time.time() * 1000, started_at)
-        overrun = max(started_at - asked_at - wait, 0.0)
-        # What is ready now came after the loop looked before this turn, or since it should have woken.
-        if not self._postponed:
-            self._postponed_since = self._selected_at
-        self.unread_time = asked_at - self._postponed_since + overrun
-        self._selected_at = started_at
+        overrun = max(started_at - wait_started_at - max_wait, 0.0)
+        # A socket that is ready now became ready after the previous wait ended. The time of this wait does
+        # not count, as a ready socket ends it; the time by which it was overrun does.
+        if not self._postponed_descriptors:
+            self._postponed_since = self._iteration_started_at
+        self.unread_time = wait_started_at - self._postponed_since + overrun
+        self._iteration_started_at = started_at
         if overrun > STALL_THRESHOLD_MS or self.is_late:
-            # The process stood still: more is ready by now than what would have woken it.
+            # The process was stalled: more sockets are ready by now than those that ended the wait.
             ready = self._selector.select(0)
-        self._turn = TurnRecord(started_at, sockets=len(ready), deferred=len(self._soon))
-        self._run_ready(ready)
-        self._turn.timers_began_at = self.now()
-        self._turn.timers = self._run_due_timers(self._turn.timers_began_at)
-        self._turn.deferred_began_at = self.now()
-        self._run_deferred(self._turn.deferred_began_at)
+        self._iteration = IterationRecord(started_at, sockets=len(ready), deferred=len(self._deferred_calls))
+        self._handle_ready_sockets(ready)
+        self._iteration.timers_started_at = self.now()
+        self._iteration.timers = self._run_due_timers(self._iteration.timers_started_at)
+        self._iteration.deferred_started_at = self.now()
+        self._run_deferred_calls(self._iteration.deferred_started_at)
 
     def _time_until_next(self, now: float) -> float:
-        """How long a turn may wait for sockets, in ms: until the first timer is due, or without end."""
-        if self._soon:
+        """Return how long an iteration may wait for sockets, in ms: at most until the first timer is due."""
+        if self._deferred_calls:
             return 0.0
         if self._timers:
-            return max(self._timers[0].when - now, 0.0)
+            return max(self._timers[0].due_at - now, 0.0)
         return inf
 
-    def _run_ready(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
-        """Call back for the sockets that are ready, by rank where it matters, until the time is over.
+    def _handle_ready_sockets(self, ready: list[tuple[selectors.SelectorKey, int]]) -> None:
+        """Run the callbacks of ready sockets for at most `MAX_PHASE_TIME_MS`, by rank where it matters.
 
-        In a late turn all of them are looked after: an end that is unread may have been so for long.
+        A late iteration handles all of them: a disconnect among them may have been unread for long.
         """
         if len(ready) > 1:
             if self.is_late:
                 ready.sort(key=lambda pair: pair[0].data.rank)
-            elif self._list_watchers or self._postponed:
-                ready.sort(key=self._place_in_turn)
-        self._postponed = set()
-        stop_at = self._selected_at + PHASE_TIME_MS
-        for place, (key, mask) in enumerate(ready):
-            if place and not self.is_late and self.now() >= stop_at:
-                self._postponed = {left.fd for left, _ in ready[place:]}
+            elif self._endpoint_list_socket_count or self._postponed_descriptors:
+                ready.sort(key=self._handling_order)
+        self._postponed_descriptors = set()
+        stop_at = self._iteration_started_at + MAX_PHASE_TIME_MS
+        for index, (key, mask) in enumerate(ready):
+            if index and not self.is_late and self.now() >= stop_at:
+                self._postponed_descriptors = {remaining_key.fd for remaining_key, _ in ready[index:]}
                 return
-            # A callback earlier in this turn may have closed this socket, and its number may be in use again.
+            # An earlier callback may have closed this socket, and its descriptor may be in use again.
             if self._selector.get_map().get(key.fd) is key:
-                self._run(partial(key.data.ready, mask))
+                self._run_callback(partial(key.data.ready, mask))
 
-    def _place_in_turn(self, ready: tuple[selectors.SelectorKey, int]) -> tuple[bool, bool]:
-        """Lists go first, then what was left by the turn before."""
+    def _handling_order(self, ready: tuple[selectors.SelectorKey, int]) -> tuple[bool, bool]:
+        """Sort key: endpoint lists first, then the sockets that the previous iteration postponed."""
         key, _ = ready
-        return key.data.rank is not WatchRank.ENDPOINT_LIST, key.fd not in self._postponed
+        return key.data.rank is not WatchRank.ENDPOINT_LIST, key.fd not in self._postponed_descriptors
 
     def _run_due_timers(self, now: float) -> int:
-        """Call back for the timers that are due until the time is over; returns how many. Those that a
-        callback adds wait for the next turn, else a timer in the past would starve the sockets."""
-        last_number = self._last_timer_number
-        fired = 0
-        while self._timers and self._timers[0].when <= now and self._timers[0].number <= last_number:
-            if fired and self.now() >= now + PHASE_TIME_MS:
+        """Run the callbacks of due timers for at most `MAX_PHASE_TIME_MS`; return how many were run.
+
+        Timers that a callback adds wait for the next iteration, or timers in the past would starve the
+        sockets.
+        """
+        last_sequence_number = self._last_sequence_number
+        fired_count = 0
+        while (
+            self._timers
+            and self._timers[0].due_at <= now
+            and self._timers[0].sequence_number <= last_sequence_number
+        ):
+            if fired_count and self.now() >= now + MAX_PHASE_TIME_MS:
                 break
-            self._run(self._timers.pop(0).callback)
-            fired += 1
-        return fired
-
-    def _run_deferred(self, now: float) -> None:
-        """Call what was put off until the end of the turn, until the time is over."""
-        for place in range(len(self._soon)):
-            if place and self.now() >= now + PHASE_TIME_MS:
+            self._run_callback(self._timers.pop(0).callback)
+            fired_count += 1
+        return fired_count
+
+    def _run_deferred_calls(self, now: float) -> None:
+        """Run deferred calls for at most `MAX_PHASE_TIME_MS`."""
+        for index in range(len(self._deferred_calls)):
+            if index and self.now() >= now + MAX_PHASE_TIME_MS:
                 break
-            self._run(self._soon.popleft())
+            self._run_callback(self._deferred_calls.popleft())
 
-    def _run(self, callback: Callable[[], object]) -> None:
+    def _run_callback(self, callback: Callable[[], object]) -> None:
         try:
             callback()
-        except Exception:  # noqa: BLE001 - the boundary: one callback's fault must not end the others
+        except Exception:  # noqa: BLE001 - the boundary: an error in one callback must not stop the others
             metrics.callback_errors += 1
             log_event("callback_failed", traceback=format_traceback())
 
     def run(self) -> None:
-        """Turn until `stop` is called."""
+        """Run iterations until `stop` is called."""
         while self._running:
             self.run_once()
 
     def stop(self) -> None:
-        """Have `run` return after the turn that is running."""
+        """Make `run` return after the current iteration."""
         self._running = False
--- a/lupinladder/net/upstream_connection.py
+++ b/lupinladder/net/upstream_connection.py
@@ -14,7 +14,7 @@
 from lupinladder.net.metrics import metrics
 from lupinladder.net.pending_request import Attempt
 from lupinladder.net.resp import FramingError
-from lupinladder.net.send_guard import SendRefusal, refuse_more, write_by
+from lupinladder.net.send_guard import SendRefusal, continue_refusal, write_by
 from lupinladder.net.upstream_protocol import UpstreamProtocolError
 from lupinladder.net.upstream_reply import UpstreamReply
 
@@ -146,7 +146,7 @@
         )
         if partial is None or partial.attempt is None:
             return True  # an abandoned attempt counts as run, and others may wait behind it
-        refusal = refuse_more(partial.attempt, partial.write_started_at, self._pool.loop.now())
+        refusal = continue_refusal(partial.attempt, partial.write_started_at, self._pool.loop.now())
         if refusal is None:
             return True
         self._abort_partial_write(refusal)
