--- a/lupinladder/connection_limits/__init__.py
+++ b/lupinladder/connection_limits/__init__.py
@@ -1,1 +1,4 @@
-"""Which client connections are kept when descriptors are scarce; no I/O. See docs/connection-limits.md."""
+"""Chooses which client connections to close when descriptors are scarce. It does no I/O.
+
+See docs/connection-limits.md.
+"""
--- a/lupinladder/connection_limits/connection_capacity.py
+++ b/lupinladder/connection_limits/connection_capacity.py
@@ -1,33 +1,33 @@
-"""How many client connections should be closed to make room for new ones. All times are in milliseconds."""
+"""Computes how many client connections to close to make room for new ones. All times are in milliseconds."""
 
 from __future__ import annotations
 
-MIN_SHARE = 4  # connections that clients may hold, however few descriptors there are
-ARRIVAL_LOOKAHEAD_MS = 300.0  # room is kept for the arrivals of this time; the check comes every 100 ms
-MIN_FREE_FRACTION = 0.25  # of the clients' share, kept free even if few arrive
-MAX_FREE_FRACTION = 0.5  # of the clients' share, kept free even if many arrive
+MIN_SHARE = 4  # minimum share of connections for clients, however few descriptors there are
+ARRIVAL_LOOKAHEAD_MS = 300.0  # capacity is kept free for the arrivals of this time; checks come every 100 ms
+MIN_FREE_FRACTION = 0.25  # minimum free part of the clients' share, even if few clients connect
+MAX_FREE_FRACTION = 0.5  # maximum free part of the clients' share, even if many clients connect
 ARRIVAL_RATE_EMA_ALPHA = 0.3
 
 
 class ConnectionCapacity:
-    """How much of the clients' share of the descriptors should be free.
+    """Computes how much of the clients' share of the descriptors should be free.
 
-    `share` is the number of connections that clients may hold for requests. Close to it, their arrivals no
-    longer show how many more would like to connect.
+    `share` is the number of connections that clients may hold for requests. When the share is nearly used up,
+    the measured arrivals no longer show how many more clients want to connect.
     """
 
     def __init__(self, share: int, now: float) -> None:
         self.share = max(share, MIN_SHARE)
-        self._accepted = 0  # since the last measurement
+        self._accepted = 0  # connections accepted since the last measurement
         self._measured_at = now
-        self._arrival_rate = 0.0  # moving average, connections per ms
+        self._arrival_rate = 0.0  # EMA, connections per ms
 
     def record_accept(self) -> None:
         """Count an accepted connection."""
         self._accepted += 1
 
     def excess(self, held: int, now: float) -> int:
-        """How many of the `held` connections should be closed now, at most.
+        """Return the maximum number of connections to close now, of those that are open.
 
         Each call also ends a measurement of the arrival rate.
         """
--- a/lupinladder/connection_limits/eviction.py
+++ b/lupinladder/connection_limits/eviction.py
@@ -1,4 +1,4 @@
-"""Which idle client connections to close when clients hold too many."""
+"""Selects the idle client connections to close when clients hold too many."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from lupinladder.connection_limits.idle_return_estimator import IdleReturnEstimator
 
-# A connection that is less likely to return than this is worth less than the room that it takes.
+# A connection that is less likely than this to carry another command is worth less than its descriptor.
 MIN_RETURN_PROBABILITY = 0.35
 
 
 class IdleClient(NamedTuple):
-    """What the choice depends on."""
+    """The facts about an idle client on which eviction depends."""
 
     command_count: int
-    idle_time: float  # ms
+    idle_time: float  # in ms
 
 
 def select_for_eviction(
     clients: Sequence[IdleClient], estimator: IdleReturnEstimator, max_count: int
 ) -> list[int]:
-    """The indexes of the clients to close, at most so many, the least likely to return first.
+    """Return the indexes of at most `max_count` clients to close, the least likely to return first.
 
-    Among equals the one that has been idle for longest comes first. A client with a probability of at least
-    MIN_RETURN_PROBABILITY is never selected.
+    Among clients that are equally likely to return, the one that has been idle for longest comes first. A
+    client with a return probability of at least MIN_RETURN_PROBABILITY is never selected.
     """
     ranking = []
     for index, client in enumerate(clients):
--- a/lupinladder/connection_limits/idle_return_estimator.py
+++ b/lupinladder/connection_limits/idle_return_estimator.py
@@ -1,56 +1,58 @@
-"""How likely an idle client connection is to send another command soon.
-
-Clients hold at most a part of the descriptors for requests and keep their connections. Some send their next
-command in a moment, some never do; the latter fill the clients' part until nobody can open another
-connection, long before the proxy's own limit is reached. Closing too eagerly costs a handshake for each
-client that would have returned. So the probability of a return is estimated from what has been seen: the
-product-limit estimate (Kaplan and Meier 1958) over spans of idle time. Of the idle periods that reached a
-span, it counts the share that ended in it by a command. Idle periods cut short by a close count in the
-spans that they outlived and in no other, so that closing a connection is not taken as evidence that nobody
-returns.
-
-All times are in milliseconds. Nothing is kept for single connections.
+"""Estimates how likely an idle client connection is to carry another command soon.
+
+Clients may use only a part of the descriptors for requests, and they keep their connections open. Some send
+their next command soon, and some never do. The latter fill the clients' share until no client can open
+another connection, long before the proxy's own limit is reached. Closing connections too eagerly costs a
+handshake for each client that would have sent another command. The probability of a return is therefore
+estimated from observed idle periods, with the product-limit estimate (Kaplan and Meier 1958) over spans of
+idle time. Of the idle periods that reached a span, it counts the fraction that ended in the span with a
+command. An idle period that was cut short by a close counts in the spans that it outlived and in no other, so
+that closing a connection is not taken as evidence that clients do not return.
+
+All times are in milliseconds. No state is kept for individual connections.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_right
 
-IDLE_SPAN_EDGES_MS = (100.0, 200.0, 400.0, 800.0, 1600.0, 3200.0)  # where each span of idle time ends
+IDLE_SPAN_EDGES_MS = (100.0, 200.0, 400.0, 800.0, 1600.0, 3200.0)  # the end of each span of idle time
 IDLE_SPAN_COUNT = len(IDLE_SPAN_EDGES_MS)
-COMMAND_COUNT_GROUPS = (1, 2, 4)  # the least commands of each group: one, two or three, more
-LOOKAHEAD_SPANS = 3  # a client that returns later than within so many spans may as well reconnect
-INITIAL_RETURN_RATE = 0.8  # the share that is assumed to return within the first span, without evidence
-PRIOR_WEIGHT = 3.0  # how many idle periods such an assumption counts as
-MAX_REMEMBERED_IDLE_PERIODS = 256.0  # of one span and group; beyond it both of its counts are halved
+COMMAND_COUNT_GROUPS = (1, 2, 4)  # minimum command count of each group: 1, 2 to 3, 4 or more
+LOOKAHEAD_SPANS = 3  # a client that returns later than within this many spans may as well reconnect
+INITIAL_RETURN_RATE = 0.8  # assumed fraction that returns within the first span, without observations
+PRIOR_WEIGHT = 3.0  # number of idle periods that an assumed return rate counts as
+MAX_REMEMBERED_IDLE_PERIODS = 256.0  # maximum per span and group; above it both counts are halved
 
 
 def command_count_group(command_count: int) -> int:
-    """The group of a connection that has sent so many commands (at least one)."""
+    """Return the group of a connection that has sent this many commands (at least one)."""
     return bisect_right(COMMAND_COUNT_GROUPS, max(command_count, 1)) - 1
 
 
 def idle_span(idle_time: float) -> int:
-    """The index of the span that an idle period has reached; IDLE_SPAN_COUNT beyond the last."""
+    """Return the index of the span that an idle period has reached; IDLE_SPAN_COUNT beyond the last one."""
     return bisect_right(IDLE_SPAN_EDGES_MS, idle_time)
 
 
 class IdleReturnEstimator:
-    """Counts how idle periods went on, and estimates from it how likely clients are to return."""
+    """Counts how idle periods ended and estimates from it how likely clients are to return."""
 
     def __init__(self) -> None:
-        # By group and span: idle periods that ended in the span by a command, and those that outlived it.
+        # By group and span: idle periods that ended in the span with a command, and those that outlived it.
         self._returned = [[0.0] * IDLE_SPAN_COUNT for _ in COMMAND_COUNT_GROUPS]
         self._outlived = [[0.0] * IDLE_SPAN_COUNT for _ in COMMAND_COUNT_GROUPS]
 
     def record_return(self, command_count: int, idle_time: float) -> None:
-        """Count an idle period that ended with a command; the spans before are told by `record_outlived`."""
+        """Count an idle period that ended with a command; `record_outlived` counts the spans before its last
+        one."""
         span = idle_span(idle_time)
         if span < IDLE_SPAN_COUNT:
             self._add(self._returned, command_count_group(command_count), span)
 
     def record_outlived(self, command_count: int, first_span: int, end_span: int) -> None:
-        """Count an idle period that has outlived the spans from the first up to, not including, the end."""
+        """Count an idle period that has outlived the spans from `first_span` up to, not including,
+        `end_span`."""
         group = command_count_group(command_count)
         for span in range(first_span, min(end_span, IDLE_SPAN_COUNT)):
             self._add(self._outlived, group, span)
@@ -62,11 +64,12 @@
             self._outlived[group][span] /= 2
 
     def return_probability(self, command_count: int, idle_time: float) -> float:
-        """The probability that a connection, idle for so long, sends a command in this span or the next ones.
+        """Return the probability that a client that has been idle for `idle_time` sends a command soon.
 
-        Each span is assumed to be like the one before until there is evidence about it: where idle periods
-        are long, few spans have any, and waiting for it would leave a flood of such connections in place
-        for seconds. As the spans double in length, the assumption is a hazard rate that falls off as 1 /
+        Soon means in the current span or in one of the LOOKAHEAD_SPANS - 1 spans that follow. Each span is
+        assumed to have the return rate of the span before it until there are observations. Where idle periods
+        are long, few spans have any, and waiting for them would leave a flood of such connections in place
+        for seconds. As the spans double in length, this assumption is a hazard rate that falls off as 1 /
         time.
         """
         group = command_count_group(command_count)
--- a/lupinladder/net/client_activity.py
+++ b/lupinladder/net/client_activity.py
@@ -1,4 +1,4 @@
-"""When a client was last active, and what its idle periods tell the estimator of returns. No I/O."""
+"""Tracks when a client was last active and reports its idle periods to the return estimator. No I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class ClientActivity:
-    """The commands of one client and the idle periods between them. Times are ms on the loop's clock."""
+    """The commands of one client and the idle periods between them. Times are in ms on the loop's clock."""
 
     def __init__(self, estimator: IdleReturnEstimator, now: float) -> None:
         self.command_count = 0
         self.last_used = now  # when the last command was read or the last reply written
         self._estimator = estimator
-        self._reported_spans = 0  # spans outlived by this idle period that the estimator knows of
+        self._reported_spans = 0  # spans outlived by this idle period that the estimator has counted
 
     def on_command(self, was_idle: bool, now: float) -> None:
-        """A command has been read, which ends an idle period unless others waited for replies."""
+        """Record a command, which ends an idle period unless earlier commands still await replies."""
         if self.command_count and was_idle:
             self._report_spans(now)
             self._estimator.record_return(self.command_count, now - self.last_used)
@@ -27,16 +27,16 @@
         self._begin_period(now)
 
     def on_reply_written(self, now: float) -> None:
-        """A reply has been written, from which on the client may be idle."""
+        """Record that a reply was written; the client may be idle from now on."""
         self._begin_period(now)
 
     def report_idle(self, now: float) -> None:
-        """Tell the estimator how long this idle period has lasted, if it does not know."""
+        """Report to the estimator how long this idle period has lasted so far."""
         if self.command_count and self._reported_spans < IDLE_SPAN_COUNT:
             self._report_spans(now)
 
     def idle_time(self, now: float) -> float:
-        """The time in ms since the client was last active."""
+        """Return the time in ms since the client was last active."""
         return now - self.last_used
 
     def _begin_period(self, now: float) -> None:
@@ -44,7 +44,7 @@
         self._reported_spans = 0
 
     def _report_spans(self, now: float) -> None:
-        """Tell the estimator which spans this idle period has outlived since the last report."""
+        """Report to the estimator which spans this idle period has outlived since the last report."""
         current_span = idle_span(now - self.last_used)
         if current_span > self._reported_spans:
             self._estimator.record_outlived(self.command_count, self._reported_spans, current_span)
--- a/lupinladder/net/client_command.py
+++ b/lupinladder/net/client_command.py
@@ -1,4 +1,4 @@
-"""Commands of clients: which are valid, and their fields in the terms of the decision module."""
+"""Parses the commands of clients and converts them to events of the decision module."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from lupinladder.balancing.events import RequestReceived
 from lupinladder.errors import LupinladderError
 
-MAX_STORED_VALUE_BYTES = 64 << 10  # of a value that a client may store
+MAX_STORED_VALUE_BYTES = 64 << 10  # maximum size of a value that a client may store
 MAX_LABELS_BYTES = 1024
-MAX_LABEL_NUMBER = 1e12  # numbers in labels are below this
+MAX_LABEL_NUMBER = 1e12  # exclusive upper bound of the numbers in labels
 KEY_DIGEST_BYTES = 8
 MICROSECONDS_PER_MS = 1000
 
@@ -36,7 +36,7 @@
 
 
 class CommandFault(StrEnum):
-    """What is wrong with a command, as its sender is told."""
+    """Why a command is invalid. The values are sent to the client."""
 
     UNKNOWN_COMMAND = "unknown command"
     ARGUMENT_COUNT = "wrong number of arguments"
@@ -49,11 +49,11 @@
 
 
 class CommandError(LupinladderError):
-    """A command that no client should send; its text is for the sender."""
+    """A command is invalid. The text of this error is sent to the client."""
 
 
 class LabelNumberError(CommandError):
-    """A label that has to be a number is none."""
+    """The value of a numeric label is not a valid number."""
 
     def __init__(self, label: bytes) -> None:
         super().__init__(f"{label.decode()} is not a figure")
@@ -62,12 +62,12 @@
 
 @dataclass(slots=True)
 class ClientCommand:
-    """A client's command as it came, and the fields that the decisions need."""
+    """A command as the client sent it, and its fields in the form that the decision module needs."""
 
-    arguments: list[bytes]  # name, key, id and labels; a write's value is the fifth
+    arguments: list[bytes]  # name, key, id and labels, and the value of a write
     labels: dict[bytes, bytes]
     request_class: int  # index in the classes of the settings
-    tenant: int  # index in the tenants of the settings; 0 where there are none
+    tenant: int  # index in the tenants of the settings; 0 if the settings name no tenants
     timeout: float  # how long the client waits, in ms
     is_write: bool
     is_retry: bool
@@ -76,19 +76,22 @@
 
     @property
     def request_id(self) -> bytes:
-        """The id that the client gave its request; unique among the open ones."""
+        """The id that the client gave its request; unique among the open requests."""
         return self.arguments[2]
 
     @property
     def key(self) -> int:
-        """The key as the decision module's number, the same at every proxy."""
+        """The key as a number for the decision module; the same at every proxy."""
         key = self.arguments[1]
         if _HEX_KEY.fullmatch(key):
             return int(key, 16)
         return int.from_bytes(blake2b(key, digest_size=KEY_DIGEST_BYTES).digest(), "big")
 
     def request_received(self, number: int, timeout: float) -> RequestReceived:
-        """The event for the decision module, under the proxy's own number of the request; `timeout` in ms."""
+        """Return the event for the decision module.
+
+        `number` identifies the request within the proxy; `timeout` is in ms.
+        """
         return RequestReceived(
             request_id=number,
             request_class=self.request_class,
@@ -102,22 +105,25 @@
         )
 
     def labels_with_deadline(self, wait: float) -> bytes:
-        """The labels for a server, in their order; only `d` changes: how long we wait, in whole ms."""
+        """Return the labels for a server, in the client's order and unchanged except for `d`.
+
+        `d` becomes the time that the proxy waits for the server: `wait`, rounded to whole ms, at least 1.
+        """
         labels = {**self.labels, DEADLINE_LABEL: b"%d" % max(1, round(wait))}
         return b",".join(name + b"=" + value for name, value in labels.items())
 
     def with_deadline(self, wait: float) -> list[bytes]:
-        """The command for a cache node: unchanged, except for the label `d` (`wait` in ms)."""
+        """Return the command for a cache node, unchanged except for the label `d` (`wait` in ms)."""
         return [*self.arguments[:3], self.labels_with_deadline(wait), *self.arguments[4:]]
 
 
 def parse_command(
     arguments: Sequence[bytes], classes: Sequence[str], tenants: Sequence[str] = ()
 ) -> ClientCommand:
-    """Read a GET or a SET; CommandError for anything else.
+    """Parse a GET or a SET. Raises CommandError for anything else.
 
-    `classes` and `tenants` are names from the settings. Where the settings name tenants, each command has to
-    name one of them (label `t`); elsewhere that label is passed on unread.
+    `classes` and `tenants` are names from the settings. If the settings name tenants, each command must name
+    one of them in the label `t`; otherwise that label is forwarded without being interpreted.
     """
     is_write = _check_arguments(arguments)
     labels = _parse_labels(arguments[3])
@@ -144,7 +150,7 @@
 
 
 def _check_arguments(arguments: Sequence[bytes]) -> bool:
-    """Check the name, the number of arguments, the key and the id; return whether it is a write."""
+    """Check the name, the argument count, the key and the id; return whether the command is a write."""
     name = arguments[0].upper()
     if name not in (GET_COMMAND, SET_COMMAND):
         raise CommandError(CommandFault.UNKNOWN_COMMAND)
@@ -157,7 +163,7 @@
 
 
 def _parse_labels(text: bytes) -> dict[bytes, bytes]:
-    """Read `name=value,...`, each name at most once, in the order of the command."""
+    """Parse `name=value,...` and keep the order of the labels; each name may occur only once."""
     if len(text) > MAX_LABELS_BYTES or not _LABELS.fullmatch(text):
         raise CommandError(CommandFault.LABELS)
     labels: dict[bytes, bytes] = {}
@@ -170,7 +176,7 @@
 
 
 def _label_number(labels: dict[bytes, bytes], name: bytes) -> float:
-    """The number in a label, 0 where the label is missing."""
+    """Return the number in a label, or 0 if the label is missing."""
     text = labels.get(name, b"0")
     if not _LABEL_NUMBER.fullmatch(text):  # float() alone would also accept nan, inf and signs
         raise LabelNumberError(name)
--- a/lupinladder/net/client_connection.py
+++ b/lupinladder/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: it reads commands, dispatches them and writes replies in the commands' order."""
+"""A client's connection: it reads and dispatches commands and writes the replies in the same order."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
 if TYPE_CHECKING:
     from lupinladder.net.client_listener import ClientListener
 
-MAX_PIPELINE_DEPTH = 32  # commands of one client that await replies; beyond, its bytes are left unread
-MAX_COMMAND_LENGTH = 16  # elements of its array
-# A client that has sent no command, or only a part of one, has to be closed within 3 s of connecting.
+MAX_PIPELINE_DEPTH = 32  # commands of one client that may await replies; further bytes are left unread
+MAX_COMMAND_LENGTH = 16  # maximum number of elements in the array of a command
+# A client that has sent no command, or only a part of one, must be closed within 3 s of connecting.
 FIRST_COMMAND_TIMEOUT_MS = 2300.0
 COMMAND_TIMEOUT_MS = 2400.0
-IDLE_TIMEOUT_MS = 2000.0  # after which an idle client may be closed, and is when descriptors run short
-MIN_UNREAD_TIME_MS = 5.0  # less than this is not taken off a request's time
+IDLE_TIMEOUT_MS = 2000.0  # a client that is idle for longer may be closed, and is if descriptors are short
+MIN_UNREAD_TIME_MS = 5.0  # a shorter unread time is not subtracted from a request's timeout
 MIN_REQUEST_TIMEOUT_MS = 1.0
 
 
 class ClientConnection:
-    """Handles the events of one client's connection; the listener holds what all clients share."""
+    """Handles the events of one client's connection. The listener holds the state that all clients share."""
 
     def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
         self._listener = listener
         self._pending_replies = deque[PendingReply]()  # in the order of the commands
         self._parser = resp.RespParser(MAX_STORED_VALUE_BYTES, MAX_COMMAND_LENGTH)
-        self._closing = False  # no more commands are read; it closes after the pending replies
+        self._closing = False  # no more commands are read, and it closes after the pending replies
         self._reading = False
-        self._reading_paused = False  # as MAX_PIPELINE_DEPTH was reached; commands may lie unread
-        self._unread_since = inf  # since when commands wait in the inbox for replies to those before them
-        self._close_reason = CloseReason.CLIENT_ENDED  # once `_closing`
+        self._reading_paused = False  # MAX_PIPELINE_DEPTH was reached; commands may be left unread
+        self._unread_since = inf  # since when commands in the inbox have waited for earlier replies
+        self._close_reason = CloseReason.CLIENT_ENDED  # used once `_closing` is set
         self._command_incomplete = False
         accepted_at = listener.loop.now()
         self.activity = ClientActivity(listener.return_estimator, accepted_at)
-        self._command_began_at = accepted_at  # of the command that is being received
+        self._command_began_at = accepted_at  # when the command that is being received started
         self.conn = Connection(listener.loop, listener.budget, sock, self, rank=WatchRank.CLIENT)
 
     @property
     def idle(self) -> bool:
-        """Whether it is between commands: all replies are taken by the system, and no command has begun."""
+        """Whether all replies have been sent and no part of a further command has been received."""
         if self._pending_replies or len(self.conn.outbox) or len(self.conn.inbox):
             return False
         return self._parser.idle
 
     def update_idle_state(self) -> None:
-        """Enter the idle clients as the latest one, or leave them."""
+        """Add the client as the latest of the idle clients, or remove it from them."""
         idle_clients = self._listener.idle_clients
         idle_clients.discard(self)
         if self.conn.is_open and self.idle and self in self._listener.clients:
@@ -70,7 +70,7 @@
     def on_data(self) -> None:
         """Read the commands that have arrived."""
         if self._reading:
-            return  # a reply given at once has come back here through flush
+            return  # reentered through `flush` after an immediate reply
         if self.activity.command_count and not self._command_incomplete:
             self._command_began_at = self._listener.loop.now()
         self._reading = True
@@ -124,11 +124,12 @@
 
     def _dispatch(self, command: ClientCommand, now: float) -> None:
         if self.conn.has_ended:
-            self._append_reply()  # nobody waits for it, nor for those behind it: see `on_closed`
+            # The client waits neither for this reply nor for later ones; `on_closed` drops them.
+            self._append_reply()
             return
         request_id = command.request_id
         if request_id in self._listener.open_ids:
-            # Attempts of two requests with one id could be taken for each other's.
+            # Attempts of two requests with the same id could be mistaken for each other.
             metrics.invalid_commands += 1
             self._append_error("id is that of another open query")
             return
@@ -141,8 +142,9 @@
                 metrics.requests_rejected_at_shutdown += 1
                 reply.on_rejected(shutdown.retry_after(now))
                 return
-        # The client counts from when it wrote, and the bytes may have lain unread: for the round before this,
-        # while the process stood still, or behind as many commands as are answered at once.
+        # The client's timeout starts when it writes the command. The bytes may have been unread since then:
+        # during the previous loop iteration, while the process was not running, or behind a full pipeline of
+        # commands.
         unread_time = max(self._listener.loop.unread_time, now - self._unread_since)
         if unread_time < MIN_UNREAD_TIME_MS:
             unread_time = 0.0
@@ -162,24 +164,25 @@
         self._append_reply().encoded = resp.encode_error("ERR " + text)
 
     def on_reply_ready(self, reply: PendingReply) -> None:
-        """Write the reply as soon as those before it are written."""
+        """Write the reply as soon as the replies before it have been written."""
         self._release_id(reply)
         self.flush()
         self.update_idle_state()
 
     def _release_id(self, reply: PendingReply) -> None:
-        """Allow the id again: its request has a reply, or nobody waits for one."""
+        """Allow the id to be used again: its request has a reply, or the client has disconnected."""
         if reply.request_id:
             self._listener.open_ids.discard(reply.request_id)
-            reply.request_id = b""  # once only: the id may be open again by the time its connection ends
+            reply.request_id = b""  # released once: the id may be in use again when this client disconnects
 
     def flush(self) -> None:
-        """Write the replies that are next in order, as far as the outbox has room, and go on from there."""
+        """Write the replies that are next in order while the outbox has space; then resume reading or
+        close."""
         self._write_replies()
         if not self.conn.is_open:
             return
         if self._reading_paused:
-            # Not from here: commands that are answered at once would nest without end.
+            # Deferred, as commands that are answered immediately would recurse without limit.
             self._listener.loop.call_soon(self._resume_reading)
         elif self._pending_replies:
             return
@@ -198,12 +201,12 @@
             self.conn.send(encoded)
 
     def on_written(self) -> None:
-        """Go on writing: the system has taken bytes from the outbox."""
+        """Continue writing: the system has taken bytes from the outbox."""
         self.flush()
         self.update_idle_state()
 
     def may_write(self) -> bool:
-        """A reply is written whenever the client takes it."""
+        """Return True: a reply may be written whenever the client can receive it."""
         return True
 
     # Closing
@@ -211,10 +214,10 @@
     def on_closed(self, by_peer: bool) -> None:
         """Drop what the client does not wait for any more.
 
-        A client that ends its bytes has disconnected: TCP does not tell a close from an end of sending. Its
-        open requests and unread commands are dropped; replies that are encoded already, as the error to an
-        invalid command, are written. A reply behind one that is dropped would be taken for it, so only those
-        before the first dropped one are written.
+        A client that ends its sending has disconnected: TCP does not distinguish a close from an end of
+        sending. Its open requests and unread commands are dropped. Replies that are already encoded, such as
+        the error for an invalid command, are still written. A client would take a reply that follows a
+        dropped one for the dropped one, so only the replies before the first dropped one are written.
         """
         metrics.client_connections_ended += by_peer
         metrics.client_connections_aborted += not by_peer
@@ -236,7 +239,7 @@
             self._listener.update_listening()
 
     def _close_after_replies(self, reason: CloseReason) -> None:
-        """Read no more commands, and close once the replies that are pending have been written."""
+        """Read no more commands, and close once the pending replies have been written."""
         self._closing = True
         self._close_reason = reason
 
@@ -255,7 +258,8 @@
     def close_if_idle(self, reason: CloseReason) -> bool:
         """Close the connection if it is idle; return whether it was.
 
-        A command that was written before the close counts as accepted, so what has arrived is read first.
+        A command that was written before the close counts as accepted, so the bytes that have arrived are
+        read first.
         """
         if self.idle:
             self.conn.read_available()
@@ -265,7 +269,8 @@
         return False
 
     def close_if_overdue(self, now: float, descriptors_short: bool) -> None:
-        """Close a client that holds a descriptor for nothing; a usual one writes a command in a moment."""
+        """Close a client that is idle or sends a command for too long; a command usually takes only
+        moments."""
         self.conn.look_for_end()
         if self._pending_replies or self._closing or len(self.conn.outbox):
             return
@@ -303,5 +308,5 @@
 
 
 def _ping_reply(command: list[bytes]) -> bytes:
-    """PONG, or the message that was sent with the command."""
+    """Return PONG, or the message that was sent with the command."""
     return resp.encode_bulk(command[1]) if len(command) == 2 else b"+PONG\r\n"
--- a/lupinladder/net/client_listener.py
+++ b/lupinladder/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: it accepts clients, limits how many there are, and closes them at a shutdown."""
+"""The listening socket: it accepts clients, limits their number, and closes them at a shutdown."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 LISTEN_BACKLOG = 1024
 MAX_ACCEPTS_PER_EVENT = 64
-UPSTREAM_DESCRIPTOR_DIVISOR = 3  # one part in so many of the descriptors is kept for upstream connections
-CLIENT_DESCRIPTOR_DIVISOR = 3  # clients hold at most one part in so many for requests (LATER, "Score")
-SHORTAGE_DIVISOR = 2  # descriptors run short when less than one part in so many is free
-ACCEPT_RETRY_MS = 100.0  # until a listener that found no descriptor for a client looks again
-SWEEP_INTERVAL_MS = 100.0  # between looks for clients to close
+UPSTREAM_DESCRIPTOR_DIVISOR = 3  # one in this many descriptors is reserved for upstream connections
+CLIENT_DESCRIPTOR_DIVISOR = 3  # clients use at most one in this many for requests (LATER, "Score")
+SHORTAGE_DIVISOR = 2  # descriptors are short if less than one in this many is free
+ACCEPT_RETRY_MS = 100.0  # delay before the next accept if one failed or no descriptor was free
+SWEEP_INTERVAL_MS = 100.0  # interval between checks for clients to close
 
 
 def open_listening_socket(address: Address) -> socket.socket:
-    """A socket that listens at this address. Raises OSError, and then holds nothing."""
+    """Return a socket that listens at this address. Raises OSError, after closing the socket."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -44,15 +44,15 @@
 
 
 class AcceptResult(Enum):
-    """What one call of accept has come to."""
+    """The result of one call of accept."""
 
-    TAKEN = auto()  # a connection was taken off the backlog, though it may have failed already
+    TAKEN = auto()  # a connection was taken off the backlog; it may have failed already
     NONE_WAITS = auto()
-    FAILED = auto()  # it tells nothing of who waits
+    FAILED = auto()  # it is unknown whether connections are waiting
 
 
 class ClientListener:
-    """Accepts clients, and holds what their connections share."""
+    """Accepts clients and holds the state that their connections share."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         classes: list[str],
         tenants: list[str],
     ) -> None:
-        """`sock` listens already: see `open_listening_socket`."""
+        """Start accepting clients. `sock` must already listen; see `open_listening_socket`."""
         self.loop = loop
         self.budget = budget
         self.dispatcher = dispatcher
@@ -73,34 +73,34 @@
         self.return_estimator = IdleReturnEstimator()
         self.idle_clients = IdleClientTracker(self.return_estimator)
         self.capacity = ConnectionCapacity(budget.limit // CLIENT_DESCRIPTOR_DIVISOR, loop.now())
-        self.closing_connections: list[Connection] = []  # of former clients, until their last bytes are taken
+        self.closing_connections: list[Connection] = []  # of former clients, until all bytes are sent
         self.shutdown: ShutdownSchedule | None = None  # set by `shut_down`
-        self.closes_idle_clients = False  # at a shutdown: each connection is closed as soon as it is idle
-        self.open_ids = set[bytes]()  # of requests that await their replies
-        self._stopped = False  # the listening socket is closed
+        self.closes_idle_clients = False  # during a shutdown: each connection is closed as soon as it is idle
+        self.open_ids = set[bytes]()  # ids of the requests that await their replies
+        self._stopped = False  # the listening socket has been closed
         self._mask = 0
         self._accept_retry: Timer | None = None
-        self._accept_failed_at = -inf  # the last time that the system could not accept
+        self._accept_failed_at = -inf  # when accept last failed
         self._sock = sock
         budget.used += 1
         self.update_listening()
         self._sweep()
 
     def forget(self, client: ClientConnection) -> None:
-        """Remove a client whose connection closes."""
+        """Remove a client whose connection is closing or closed."""
         self.clients.pop(client, None)
         self.idle_clients.discard(client)
 
     def await_closing(self, connection: Connection) -> None:
-        """Keep a connection until its last bytes are taken.
+        """Keep track of a connection until its last bytes are sent.
 
-        Those that have closed since are dropped: a list of all connections there ever were would grow
-        without end.
+        Connections that have closed since the last call are dropped; otherwise the list would grow with each
+        connection that was ever accepted.
         """
         self.closing_connections = [one for one in self.closing_connections if one.is_open]
         self.closing_connections.append(connection)
 
-    # Closing clients that are worth less than their descriptors
+    # Closing clients that are not worth their descriptors
 
     def _sweep(self) -> None:
         now = self.loop.now()
@@ -112,30 +112,30 @@
         self.loop.call_at(now + SWEEP_INTERVAL_MS, self._sweep)
 
     def _close_excess_clients(self, now: float) -> None:
-        """Keep room for new clients.
+        """Keep capacity for new clients.
 
-        Clients hold only so many connections for requests. Those that are unlikely to send another command
-        are closed before they leave no room for clients that would send one.
+        Clients may hold only a limited number of connections for requests. Clients that are unlikely to send
+        another command are evicted before they leave no capacity for clients that would send one.
         """
         held = len(self.clients) - self.idle_clients.silent_count
         excess = self.capacity.excess(held, now)
-        if excess and not self.shutdown:  # at a shutdown no new clients come
+        if excess and not self.shutdown:  # no new clients connect during a shutdown
             self.idle_clients.close_unlikely_to_return(excess, now)
 
     # Accepting
 
     def update_listening(self) -> None:
-        """Accept while there are descriptors for clients, or idle connections to take one from."""
+        """Accept clients if a descriptor is free for them or an idle connection can be closed for one."""
         mask = 0
         if self._stopped:
             pass
         elif self.loop.now() - self._accept_failed_at < ACCEPT_RETRY_MS:
-            self._retry_listening()  # the clients still wait: to try at once would cost a core
+            self._retry_listening()  # clients still wait, so an immediate retry would use a whole core
         elif self._has_client_descriptor or self._may_take_upstream_descriptor or len(self.idle_clients):
             mask = READ
         else:
-            # Upstream connections close without telling the listener, and there may be no client left whose
-            # close would, so it has to look again by itself.
+            # Upstream connections close without notifying the listener, and there may be no client whose
+            # close would notify it, so it has to check again by itself.
             self._retry_listening()
         try:
             self.loop.watch(self._sock, self._mask, mask, self._on_readable)
@@ -151,40 +151,41 @@
 
     @property
     def _has_client_descriptor(self) -> bool:
-        """Whether a descriptor is free beside the part that is kept for upstream connections."""
+        """Whether a descriptor is free in addition to those reserved for upstream connections."""
         return self.budget.has_capacity(self.budget.limit // UPSTREAM_DESCRIPTOR_DIVISOR)
 
     @property
     def _may_take_upstream_descriptor(self) -> bool:
         """Whether clients hold less than their share while upstream connections are idle.
 
-        Beyond their share clients displace only each other: a flood of them would leave upstream connections
-        no descriptor.
+        Beyond their share, clients displace only each other; otherwise a flood of clients would leave no
+        descriptor for upstream connections.
         """
         return len(self.clients) < self.capacity.share and bool(self.budget.idle_connections)
 
     def _on_readable(self, _events: int) -> None:
-        # In a late turn all are accepted and read at once: what they sent may have lain unread for as long as
-        # the turn is late, as at a start that takes a while, and in the next turn nobody would know.
+        # In a late iteration, all waiting clients are accepted and read immediately. Their bytes may have
+        # been unread for as long as the iteration is late, for example after a slow start, and the next
+        # iteration would not know how long that was.
         is_late = self.loop.is_late
         for accepted in range(LISTEN_BACKLOG if is_late else MAX_ACCEPTS_PER_EVENT):
-            # Only before the first accept is it certain that a client waits, which is worth closing another
+            # Only before the first accept is it certain that a client waits, which justifies closing another
             # connection.
             if not self._has_client_descriptor and (accepted or not self._release_descriptor()):
-                log_event("accept_paused", reason="no descriptor left for a client")
+                log_event("accept_paused", reason="no descriptor is free for a client")
                 break
             if self._accept(read_at_once=is_late) is not AcceptResult.TAKEN:
                 break
         self.update_listening()
 
     def _release_descriptor(self) -> bool:
-        """Close an idle connection, upstream or a client's; return whether there was one."""
+        """Close an idle upstream or client connection; return whether there was one."""
         if self._may_take_upstream_descriptor and self.budget.close_longest_idle():
             return True
         return self.idle_clients.evict_one(self.loop.now())
 
     def _accept(self, read_at_once: bool = False) -> AcceptResult:
-        """Accept one client, if one waits."""
+        """Accept one client if one is waiting."""
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
@@ -208,7 +209,7 @@
     # Shutting down
 
     def shut_down(self) -> None:
-        """Accept a little longer, answer what was accepted, close connections that are idle."""
+        """Accept clients for a short time, answer all accepted commands, and close idle connections."""
         self.shutdown = self.dispatcher.shutdown_schedule()
         self.loop.call_at(self.shutdown.accept_until, self._stop_listening)
         self.loop.call_at(self.shutdown.close_idle_from, self._close_idle_clients)
@@ -216,25 +217,26 @@
 
     @property
     def is_finished(self) -> bool:
-        """After `shut_down`: whether every client is closed, and has taken all that was written.
+        """After `shut_down`: whether every client is closed and all written bytes have been sent.
 
-        A client that has begun a command may end it any moment, and it counts as accepted then.
+        A client that has sent a part of a command may complete it at any time; the command then counts as
+        accepted.
         """
         self.closing_connections = [one for one in self.closing_connections if one.is_open]
         return self._stopped and not self.clients and not self.closing_connections
 
     def _stop_listening(self) -> None:
-        """Accept whoever has connected so far, then close the listening socket.
+        """Accept all clients that have connected so far, then close the listening socket.
 
-        The close resets the connections that wait to be accepted, and loses the commands sent on them. So
-        without a descriptor for them, or when the system cannot accept, it is tried again, until all has to
-        be answered.
+        The close resets the connections in the backlog and loses the commands sent on them. If they cannot be
+        accepted, because no descriptor is free or accept fails, the close is postponed and tried again until
+        all requests have to be answered.
         """
         assert self.shutdown
         has_accepted_all = self._accept_backlog()
         now = self.loop.now()
         if not has_accepted_all and now < self.shutdown.answer_by:
-            log_event("listener_close_postponed", reason="clients may wait that cannot be accepted now")
+            log_event("listener_close_postponed", reason="clients may be waiting that cannot be accepted yet")
             self.loop.call_at(now + ACCEPT_RETRY_MS, self._stop_listening)
             return
         self._stopped = True
@@ -242,12 +244,15 @@
         self.update_listening()
         self._sock.close()
         self.budget.used -= 1
-        if self.closes_idle_clients:  # that was due before those who were accepted just now
+        if self.closes_idle_clients:  # idle clients were due to be closed before the last ones were accepted
             self._close_idle_clients()
 
     def _accept_backlog(self) -> bool:
-        """Accept all that wait; False if the system cannot now, or there is no descriptor, not even one kept
-        for upstream."""
+        """Accept all waiting clients; return False if that is not possible now.
+
+        It is not possible if accept fails, or if no descriptor is free, not even one reserved for upstream
+        connections.
+        """
         for _ in range(LISTEN_BACKLOG):
             if not self.budget.has_capacity() and not self.budget.close_longest_idle():
                 return False
--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -1,4 +1,4 @@
-"""Non-blocking TCP connections, with a ring buffer for each direction."""
+"""Non-blocking TCP connections with a ring buffer for each direction."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from lupinladder.net.ring_buffer import RingBuffer
 from lupinladder.net.transient_errors import RETRIED_TRANSFER_ERRORS, is_in
 
-# Of the inbox: two of the largest commands; longer answers are taken off it in parts.
+# The inbox holds two of the largest commands. Longer replies are taken out of it in parts.
 MAX_INBOX_BYTES = 160 << 10
-# Of the outbox: the largest answer and its framing, since it is put in whole.
+# The outbox holds the largest reply and its framing, since a reply is appended as a whole.
 MAX_OUTBOX_BYTES = (1 << 20) + 1024
-MAX_READS_PER_EVENT = 4  # from one connection in a turn, so that none holds up the others
-MAX_READS_IN_LATE_TURN = 64  # the same in a turn in which what is ready may lie unread for long
-TCP_STATES_AFTER_PEERS_END = (7, 8, 9)  # closed, close-wait, last-ack: the first byte of TCP_INFO, tcp(7)
-LINGER_MS = 1000.0  # how long a connection that we end is read from, while it takes no more bytes
-MAX_DISCARDED_BYTES = 256 << 10  # bytes read from such a connection until it is closed all the same
-WATCH_RETRY_MS = 20.0  # until a selector that had no memory for a socket is asked again
+MAX_READS_PER_EVENT = 4  # from one connection per iteration, so that it does not delay the others
+MAX_READS_IN_LATE_TURN = 64  # the same in a late iteration, when ready bytes may have been unread for long
+TCP_STATES_AFTER_PEERS_END = (7, 8, 9)  # close, close-wait, last-ack: the first byte of TCP_INFO, tcp(7)
+LINGER_MS = 1000.0  # how long a closing connection lingers while the peer takes no bytes
+MAX_DISCARDED_BYTES = 256 << 10  # maximum number of bytes read from a lingering connection
+WATCH_RETRY_MS = 20.0  # delay before a socket is registered again if the selector had no memory for it
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 Address = tuple[str, int]  # IPv4 address and port
 
-# Where bytes go that nobody wants; shared by all connections, as it is never read.
+# Receives bytes that are discarded. It is shared by all connections, as its content is never used.
 _discard_buffer = bytearray(64 << 10)
 
 
 def format_address(address: Address) -> str:
-    """`host:port`."""
+    """Return `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 class Connection:
-    """One connection, from the moment it is accepted or begun; its owner is called from the loop."""
+    """A TCP connection from when it is accepted or started; it calls its handler from the event loop."""
 
     def __init__(
         self,
@@ -52,8 +52,8 @@
     ) -> None:
         self.inbox = RingBuffer(MAX_INBOX_BYTES)
         self.outbox = RingBuffer(MAX_OUTBOX_BYTES)
-        self.bytes_queued = 0  # ever handed to the connection
-        self.bytes_sent = 0  # of them, taken from it by the system
+        self.bytes_queued = 0  # total number of bytes passed to `send`
+        self.bytes_sent = 0  # how many of them the system has taken
         self.is_open = True
         self.connecting = opening
         self.eof = False  # the peer has ended its sending
@@ -62,15 +62,16 @@
         self._sock = sock
         self._owner: ConnectionHandler = owner
         self._rank = rank
-        self._mask = 0  # what the loop watches the socket for
-        self._failed = False  # a read has found the connection reset
-        self._finishing = False  # we are ending it: what comes in is discarded
+        self._mask = 0  # the events that the loop watches the socket for
+        self._failed = False  # a read has failed, for example because of a reset
+        self._finishing = False  # closing gracefully: further input is discarded
         self._sending_ended = False
-        self._discarded = 0  # bytes read since
+        self._discarded = 0  # number of bytes discarded since the close started
         self._linger: Timer | None = None
-        budget.used += 1  # nothing below raises: whoever counts it also closes it
+        budget.used += 1  # `close` subtracts it again; nothing below raises
         sock.setblocking(False)
-        with suppress(OSError):  # it serves without, only later; one that is reset already ends by itself
+        # Without the option the connection works, only slower. One that is already reset fails later.
+        with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._interest()
 
@@ -83,21 +84,26 @@
         owner: ConnectionHandler,
         rank: WatchRank = WatchRank.OTHER,
     ) -> Connection:
-        """Begin to connect. Every failure comes through `on_closed`, never from here."""
+        """Start to connect. Raises OSError if no socket can be created.
+
+        Every other failure is reported through `on_closed`, and never from within this call.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
             code = sock.connect_ex(address)
-        except OSError:  # not an address
+        except OSError:  # the address is invalid
             code = errno.EINVAL
         connection = cls(loop, budget, sock, owner, opening=True, rank=rank)
-        if code not in (0, errno.EINPROGRESS, errno.EINTR):  # which goes on by itself, connect(2)
+        if code not in (0, errno.EINPROGRESS, errno.EINTR):  # the last two continue, see connect(2)
             loop.call_soon(connection._fail)
         return connection
 
     def send(self, data: bytes) -> None:
-        """Queue and try to write at once. Check `outbox.available_space` first: beyond it this raises
-        RingBufferFullError."""
+        """Queue the bytes and try to write them immediately.
+
+        Check `outbox.available_space` first: RingBufferFullError is raised for more bytes than that.
+        """
         self.outbox.append(data)
         self.bytes_queued += len(data)
         if not self.connecting and len(self.outbox) == len(data):
@@ -105,34 +111,37 @@
         self._interest()
 
     def resume_reading(self) -> None:
-        """Call after taking bytes out of a full inbox outside of `on_data`."""
+        """Resume reading. Call this after taking bytes out of a full inbox outside of `on_data`."""
         self._interest()
 
     def read_available(self) -> None:
-        """Take in what has come already, as before a close: what the peer has written it counts as taken."""
+        """Read the bytes that have arrived, as before a close: the peer considers them accepted."""
         if self.is_open and not (self.connecting or self.eof or self._finishing):
             self._read()
             self._interest()
 
     @property
     def has_ended(self) -> bool:
-        """Whether the peer is known to have ended its bytes, or the connection to be broken."""
+        """Whether the peer is known to have ended its sending, or the connection has failed or is closed."""
         return self.eof or self._failed or not self.is_open
 
     @property
     def is_reusable(self) -> bool:
-        """Open, with nothing unread and no end of the peer's bytes, not even in the system."""
+        """Whether the connection is open, with neither unread bytes nor an end of input, even in the
+        system."""
         if not self.is_open or self.eof or len(self.inbox):
             return False
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
             return is_in(error, RETRIED_TRANSFER_ERRORS)
-        return False  # a byte, or the end
+        return False  # a byte or an end of input is waiting
 
     def look_for_end(self) -> None:
-        """Find out whether the peer has ended its bytes behind some that there is no room to read. The owner
-        is told as if the connection had failed: what it has not read is of no use any more."""
+        """Detect that the peer has ended its sending behind bytes for which the inbox has no space.
+
+        The handler is notified as if the connection had failed, since the unread bytes are no longer of use.
+        """
         if not self.is_open or self.eof or self.connecting or self.inbox.available_space:
             return
         try:
@@ -143,8 +152,11 @@
             self._fail()
 
     def close_gracefully(self) -> None:
-        """Write what is queued, end our sending, and read on until the peer ends or a while has passed.
-        Closing with input unread would send a reset, which can destroy an answer still on its way."""
+        """Write the queued bytes, end sending, and read until the peer ends its sending or LINGER_MS have
+        passed.
+
+        Closing with unread input would send a reset, which can destroy a reply in transit.
+        """
         if self.is_open and not self._finishing:
             self._finishing = True
             self._set_linger()
@@ -156,7 +168,7 @@
         self._linger = self._loop.call_at(close_at, lambda: self._on_lingered(sent_before))
 
     def _on_lingered(self, sent_before: int) -> None:
-        """Close, unless the peer still takes what it is owed: a slow reader gets its whole answer."""
+        """Close, unless the peer is still taking the queued bytes: a slow reader receives its whole reply."""
         if len(self.outbox) and not self.eof:
             if self.bytes_sent > sent_before:
                 self._set_linger()
@@ -165,7 +177,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close at once, without a callback."""
+        """Close immediately, without a callback."""
         if self.is_open:
             self.is_open = False
             self._loop.cancel(self._linger)
@@ -177,14 +189,15 @@
             self._budget.used -= 1
 
     def _fail(self) -> None:
-        """Close after a failure, and tell the owner."""
+        """Close after a failure, and notify the handler."""
         if self.is_open:
             owner = self._owner
             self.close()
             owner.on_closed(False)
 
     def _interest(self) -> None:
-        """Have the loop watch for what can be done now: read with room in the inbox, write what is queued."""
+        """Watch the socket for what is possible now: reading with space in the inbox, writing queued
+        bytes."""
         if not self.is_open:
             return
         can_read = not self.connecting and not self.eof and (self.inbox.available_space or self._finishing)
@@ -199,7 +212,7 @@
         self._mask = mask
 
     def _ready(self, mask: int) -> None:
-        """Do what the socket is ready for."""
+        """Handle the events for which the socket is ready."""
         try:
             if self.connecting:
                 if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -217,7 +230,7 @@
             self._interest()
 
     def _call_owner(self, call: Callable[[], None]) -> None:
-        """A fault in handling one connection's bytes ends that connection; the loop logs it."""
+        """Call the handler. An exception ends only this connection; the loop logs it."""
         try:
             call()
         except Exception:
@@ -226,7 +239,7 @@
             raise
 
     def _read(self) -> None:
-        """Take in what has come, and tell the owner of it and of the end of the peer's bytes."""
+        """Read what has arrived, and notify the handler of it and of the end of input."""
         if self._finishing:
             self._discard_input()
         elif self._fill_inbox():
@@ -240,10 +253,10 @@
                 self._call_owner(lambda: self._owner.on_closed(True))
 
     def _fill_inbox(self) -> bool:
-        """Read until nothing more has come or the inbox is full. Whether anything was read.
+        """Read until no more bytes are available or the inbox is full; return whether any were read.
 
-        In a late turn all of it is read before any of it is handled, so that the end of the peer's bytes, if
-        it lies behind them, is known to whoever handles them.
+        In a late iteration, all bytes are read before any are handled, so that an end of input behind them is
+        known to the code that handles them.
         """
         received = False
         for _ in range(MAX_READS_IN_LATE_TURN if self._loop.is_late else MAX_READS_PER_EVENT):
@@ -260,8 +273,11 @@
         return received
 
     def _discard_input(self) -> None:
-        """Read what is no concern of ours any more: the peer repeats it elsewhere. Close on a peer that sends
-        on at full speed, which would cost a core."""
+        """Discard input that is no longer needed, as the peer repeats it elsewhere.
+
+        A peer that keeps sending at full speed would use a whole core, so the connection is closed after
+        MAX_DISCARDED_BYTES.
+        """
         for _ in range(MAX_READS_PER_EVENT):
             count = self._receive(_discard_buffer)
             if not count:
@@ -272,8 +288,11 @@
                 return
 
     def _receive(self, space: bytearray | memoryview) -> int:
-        """Read once into this space; the number of bytes. 0 if there are none for now, or none will come any
-        more: then `eof` or `_failed` is set."""
+        """Read once into `space` and return the number of bytes.
+
+        It is 0 if there are none now, or if there will be no more; in the latter case `eof` or `_failed` is
+        set.
+        """
         try:
             count = self._sock.recv_into(space)
         except OSError as error:
@@ -284,7 +303,7 @@
         return count
 
     def _flush(self) -> None:
-        """Write as much of what is queued as the system takes."""
+        """Write as many of the queued bytes as the system takes."""
         try:
             while len(self.outbox):
                 count = self._sock.send(self.outbox.readable_view())
@@ -292,13 +311,13 @@
                 self.outbox.discard(count)
         except OSError as error:
             if not is_in(error, RETRIED_TRANSFER_ERRORS):
-                self._loop.call_soon(self._fail)  # never from within the owner's own call
+                self._loop.call_soon(self._fail)  # not from within the handler's own call
                 return
         if self._finishing:
             self._end_sending()
 
     def _end_sending(self) -> None:
-        """Once all is written: shut our side down, and close if the peer has ended as well."""
+        """Once all bytes are written, shut down sending; close if the peer has ended its sending too."""
         if len(self.outbox) or not self.is_open:
             return
         if self.eof:
--- a/lupinladder/net/connection_handler.py
+++ b/lupinladder/net/connection_handler.py
@@ -1,4 +1,4 @@
-"""Who owns a connection, and is called for what happens on it."""
+"""The interface through which a connection notifies its handler."""
 
 from __future__ import annotations
 
@@ -6,28 +6,35 @@
 
 
 class ConnectionHandler(Protocol):
-    """What a connection calls. After `on_closed(False)` it is closed; after `on_closed(True)` the peer has
-    ended its sending, and the connection can still be written."""
+    """Receives the events of a connection.
+
+    After `on_closed(False)` the connection is closed. After `on_closed(True)` the peer has ended its sending,
+    and the connection can still be written to.
+    """
 
     def on_connected(self) -> None:
-        """The connection that was being opened is up."""
+        """The connection has been established."""
 
     def on_data(self) -> None:
-        """Bytes have come into the inbox."""
+        """Bytes have been received into the inbox."""
 
     def on_written(self) -> None:
-        """Queued bytes have been written, perhaps not all."""
+        """Queued bytes have been written, perhaps not all of them."""
 
     def may_write(self) -> bool:
-        """Whether bytes that stayed queued may be written now; else the owner has closed the connection."""
+        """Whether bytes that are still queued may be written now; if not, the handler has closed the
+        connection."""
 
     def on_closed(self, by_peer: bool) -> None:
         """The peer has ended its sending in order (`by_peer`), or the connection has failed."""
 
 
 class NullHandler:
-    """The owner of what is closed. With its owner still named, the two would hold one another until the
-    collector came, and on a day of ever new connections that is most of the memory."""
+    """The handler of a closed connection.
+
+    If a closed connection still referred to its former handler, the two would form a reference cycle that
+    only the garbage collector frees. With many short connections, such cycles would use most of the memory.
+    """
 
     def on_connected(self) -> None:
         """Do nothing."""
@@ -39,7 +46,7 @@
         """Do nothing."""
 
     def may_write(self) -> bool:
-        """Nothing speaks against it."""
+        """Return True: a closed connection has nothing to write."""
         return True
 
     def on_closed(self, by_peer: bool) -> None:
--- a/lupinladder/net/descriptor_budget.py
+++ b/lupinladder/net/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The budget of file descriptors, shared by the connections of clients and to servers."""
+"""The budget of file descriptors, shared by client connections and upstream connections."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 
 
 class IdleConnection(Protocol):
-    """A connection to a server that no attempt uses."""
+    """An upstream connection that no attempt uses."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close it, and take it off the budget's idle connections."""
+        """Close the connection, and remove it from the budget's idle connections."""
 
 
 class DescriptorBudget:
-    """How many descriptors the process may hold and holds. Who opens one adds to `used`, who closes one takes
-    from it."""
+    """The number of descriptors that the process may use and does use.
+
+    Code that opens a descriptor adds to `used`, and code that closes one subtracts from it.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
-        # Connections to servers, of all pools, the longest idle first.
+        # Idle upstream connections of all pools, the longest idle first.
         self.idle_connections: dict[IdleConnection, None] = {}
 
     def close_longest_idle(self) -> bool:
-        """Close the connection to a server that has been idle for longest: at most a handshake is lost.
-        False if none is idle."""
+        """Close the upstream connection that has been idle for longest; return False if none is idle.
+
+        This costs at most one handshake.
+        """
         for connection in self.idle_connections:
             connection.close(CloseReason.SERVER_DESCRIPTOR_NEEDED)
             return True
         return False
 
     def has_capacity(self, reserved: int = 0) -> bool:
-        """Whether one more may be opened with so many left for others."""
+        """Whether one more descriptor may be opened while `reserved` of them stay free for other uses."""
         return self.used + reserved < self.limit
--- a/lupinladder/net/http.py
+++ b/lupinladder/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the origin and discovery speak it: requests are encoded, responses parsed. No sockets."""
+"""HTTP/1.1 for the origin and discovery: encodes requests and parses responses. It uses no sockets."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from lupinladder.errors import LupinladderError
 
-MAX_HEADERS = 64  # header lines of a response
-MAX_HEADER_BYTES = 32 << 10  # bytes that are fed until the last header line is whole
+MAX_HEADERS = 64  # maximum number of header lines in a response
+MAX_HEADER_BYTES = 32 << 10  # maximum number of bytes fed until the last header line is complete
 STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
 
 class HttpError(LupinladderError):
-    """A response that cannot be read. Nothing that follows it on its connection can be."""
+    """A response cannot be parsed, and neither can the bytes that follow it on its connection."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -25,43 +25,43 @@
 
 @dataclass(slots=True)
 class HttpResponse:
-    """A response, perhaps one that is still coming in: its status is 0 until the headers are whole."""
+    """A response, which may still be incomplete: its status is 0 until the headers are complete."""
 
     status: int = 0
-    headers: dict[str, bytes] = field(default_factory=dict)  # by name in lower case
+    headers: dict[str, bytes] = field(default_factory=dict)  # by lower-case name
     body: bytearray = field(default_factory=bytearray)
 
     @property
     def is_interim(self) -> bool:
-        """Whether it is an informational response, which the final one follows."""
+        """Whether this is an informational response, which the final one follows."""
         return 100 <= self.status < 200
 
 
 class ResponseReader:
-    """Parses the responses on one connection from bytes in pieces of any size.
+    """Parses the responses on one connection from pieces of any size.
 
-    `current` is the response that is coming in. Whoever reads a response without an end takes its body away
+    `current` is the response that is being received. A caller that reads an endless response removes the body
     from there.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
         self.current = HttpResponse()
-        self.closes_connection = False  # the server ends it after the response that was returned last
-        self.is_idle = True  # no byte of a next response has come
+        self.closes_connection = False  # the server closes it after the last response that was returned
+        self.is_idle = True  # no byte of another response has been received
         self._max_body_bytes = max_body_bytes
         self._completed = list[HttpResponse]()
-        self._error_reason: str | None = None  # why nothing more can be read
+        self._error_reason: str | None = None  # why no more bytes can be parsed
         self._header_count = 0
-        self._header_bytes = 0  # bytes fed since a response began whose headers are not whole
-        self._has_length = False  # the headers tell where the body ends
-        self._ends_with_connection = False  # the end of the connection alone tells where the body ends
+        self._header_bytes = 0  # bytes fed since the start of a response with incomplete headers
+        self._has_length = False  # the headers determine where the body ends
+        self._ends_with_connection = False  # only the end of the connection determines where the body ends
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> list[HttpResponse]:
-        """The responses that these bytes complete.
+        """Parse these bytes and return the responses that they complete.
 
-        Raises HttpError for bytes that cannot be read. If a response was whole before the first bad byte, it
-        is returned and the error is raised by the next call.
+        Raises HttpError for bytes that cannot be parsed. If a response was complete before the first invalid
+        byte, it is returned and the next call raises the error.
         """
         self._parse(data)
         completed = self._completed
@@ -73,7 +73,8 @@
         return completed
 
     def finish(self) -> HttpResponse | None:
-        """The response that the orderly end of the connection completes. Not to be called after a reset."""
+        """Return the response that the orderly end of the connection completes. Must not be called after a
+        reset."""
         if self._ends_with_connection and self._error_reason is None:
             return self.current
         return None
@@ -82,22 +83,22 @@
         try:
             if self._error_reason is None:
                 self._parser.feed_data(data)
-            # Of a header line that never ends the parser would keep every byte.
+            # The parser would keep every byte of a header line that never ends.
             in_headers = not self.is_idle and not self.current.status
-            # Which of these bytes belong to a response behind one that they complete is not known.
+            # It is unknown which of these bytes belong to a response that follows one they complete.
             counts = in_headers and not self._completed
             self._header_bytes = self._header_bytes + len(data) if counts else 0
             if self._header_bytes > MAX_HEADER_BYTES:
-                self._error_reason = "the headers do not end"
+                self._error_reason = "headers are too long"
         except httptools.HttpParserCallbackError as error:
             self._error_reason = str(error.__context__ or error)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._error_reason = str(error)
 
-    # The parser calls the methods below from within `feed_data`.
+    # The parser calls the methods below during `feed_data`.
 
     def on_message_begin(self) -> None:
-        """The first byte of a response has come."""
+        """The first byte of a response has been received."""
         self.current = HttpResponse()
         self.is_idle = False
         self._header_count = 0
@@ -105,7 +106,7 @@
         self._ends_with_connection = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header line is whole."""
+        """A header line is complete."""
         self._header_count += 1
         if self._header_count > MAX_HEADERS:
             reason = "too many headers"
@@ -117,17 +118,17 @@
             self._has_length = True
 
     def on_headers_complete(self) -> None:
-        """All header lines are whole."""
+        """All header lines are complete."""
         response = self.current
         response.status = self._parser.get_status_code()
         if response.status == HTTPStatus.SWITCHING_PROTOCOLS:
-            reason = "it switches protocols"
+            reason = "switching protocols is not supported"
             raise HttpError(reason)
         has_no_body = response.status in STATUSES_WITHOUT_BODY or response.is_interim
         self._ends_with_connection = not (self._has_length or has_no_body)
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body has come."""
+        """A part of the body has been received."""
         body = self.current.body
         if len(body) + len(data) > self._max_body_bytes:
             reason = "body too long"
@@ -135,7 +136,7 @@
         body += data
 
     def on_message_complete(self) -> None:
-        """The response is whole. The final response is still to come after an informational one."""
+        """The response is complete. After an informational response, the final one is still to come."""
         response = self.current
         self.current = HttpResponse()
         if response.is_interim:
@@ -148,7 +149,7 @@
 def encode_request(
     method: str, path: str, host: str, headers: Mapping[str, bytes], body: bytes | None
 ) -> bytes:
-    """A request as it is written; `host` stands in the Host header."""
+    """Return the bytes of a request; `host` is the value of the Host header."""
     lines = [f"{method} {path} HTTP/1.1".encode("latin-1"), b"Host: " + host.encode("latin-1")]
     lines += [name.encode("latin-1") + b": " + value for name, value in headers.items()]
     if body is not None:
--- a/lupinladder/net/idle_client_tracker.py
+++ b/lupinladder/net/idle_client_tracker.py
@@ -1,4 +1,4 @@
-"""The idle clients, in the order in which they became idle, and closing those that are worth least."""
+"""Tracks idle clients in the order in which they became idle, and evicts the least valuable ones."""
 
 from __future__ import annotations
 
@@ -10,48 +10,49 @@
 from lupinladder.net.close_reason import CloseReason
 from lupinladder.net.metrics import metrics
 
-EVICTION_CANDIDATES = 4  # of each kind: a few, since one may have written a command just now
-SILENT_EVICTION_AGE_MS = IDLE_TIMEOUT_MS / 8  # a client without a command is evicted first from this age on
+EVICTION_CANDIDATES = 4  # of each kind; several, since one may have just sent a command
+SILENT_EVICTION_AGE_MS = IDLE_TIMEOUT_MS / 8  # idle time from which a silent client is evicted first
 
 
 class IdleClientTracker:
-    """Two ordered sets of idle clients, the longest idle first; the connections keep them up to date."""
+    """Two ordered sets of idle clients, the longest idle first, which the client connections keep up to
+    date."""
 
     def __init__(self, return_estimator: IdleReturnEstimator) -> None:
         self._return_estimator = return_estimator
         self._with_commands: dict[ClientConnection, None] = {}
-        self._silent: dict[ClientConnection, None] = {}  # those that have sent no command yet
+        self._silent: dict[ClientConnection, None] = {}  # those that have not sent a command yet
 
     def __len__(self) -> int:
         return len(self._with_commands) + len(self._silent)
 
     @property
     def silent_count(self) -> int:
-        """How many of them have sent no command yet."""
+        """How many of the idle clients have not sent a command yet."""
         return len(self._silent)
 
     def add(self, client: ClientConnection) -> None:
-        """Add a client that has become idle just now."""
+        """Add a client that has just become idle."""
         clients = self._with_commands if client.activity.command_count else self._silent
         clients[client] = None
 
     def discard(self, client: ClientConnection) -> None:
-        """Remove a client that is not idle any more, if it is here."""
+        """Remove a client that is no longer idle, if it is tracked."""
         self._with_commands.pop(client, None)
         self._silent.pop(client, None)
 
     def close_unlikely_to_return(self, max_count: int, now: float) -> None:
-        """Close those that are unlikely to send another command soon, at most so many."""
+        """Evict at most `max_count` clients that are unlikely to send another command soon."""
         clients = list(self._with_commands)
         idle_times = [IdleClient(one.activity.command_count, one.activity.idle_time(now)) for one in clients]
         for index in select_for_eviction(idle_times, self._return_estimator, max_count):
             metrics.client_connections_evicted += clients[index].close_if_idle(CloseReason.CLIENT_EVICTED)
 
     def evict_one(self, now: float) -> bool:
-        """Close the client that has been idle for longest; it may connect again. False if there is none.
+        """Evict the client that has been idle for longest; it may reconnect. Return False if there is none.
 
-        One that has sent nothing for a while is closed before one that has sent commands and may send the
-        next any moment.
+        A client that has not sent a command for a while after connecting is evicted before one that has sent
+        commands and may send the next one at any time.
         """
         candidates = [
             *islice(self._silent, EVICTION_CANDIDATES),
@@ -60,7 +61,7 @@
         candidates.sort(key=lambda client: (_was_used_recently(client, now), client.activity.last_used))
         for client in candidates:
             if client.close_if_idle(CloseReason.CLIENT_EVICTED):
-                client.conn.close()  # its descriptor is needed now; all replies to it have been written
+                client.conn.close()  # frees its descriptor now; all replies to it have been written
                 return True
         return False
 
--- a/lupinladder/net/pending_reply.py
+++ b/lupinladder/net/pending_reply.py
@@ -10,24 +10,24 @@
 if TYPE_CHECKING:
     from lupinladder.net.client_connection import ClientConnection
 
-MIN_RETRY_AFTER_MS = 1.0  # a client that may retry sooner is given no time
+MIN_RETRY_AFTER_MS = 1.0  # a shorter retry time is not sent to the client
 
 
 class PendingReply:
-    """The reply to one command, from when the command was read until the reply is in the outbox."""
+    """The reply to one command, from reading the command until the reply is in the outbox."""
 
     def __init__(self, client: ClientConnection, request_id: bytes = b"") -> None:
         self._client = client
-        self.request_id = request_id  # the client's; empty for a command that is answered at once
+        self.request_id = request_id  # the client's id; empty for a command that is answered immediately
         self.request: PendingRequest | None = None
-        self.encoded: bytes | None = None  # set when the reply is known
+        self.encoded: bytes | None = None  # set once the reply is known
 
     def on_served(self, value: bytes) -> None:
         """Reply with the value."""
         self._set(resp.encode_bulk(value))
 
     def on_rejected(self, wait: float) -> None:
-        """Reply that the client may retry after so many ms."""
+        """Reply that the client may retry after `wait` ms."""
         self._set(resp.encode_error(f"BUSY {wait:.0f}" if wait >= MIN_RETRY_AFTER_MS else "BUSY"))
 
     def on_failed(self) -> None:
--- a/lupinladder/net/resp.py
+++ b/lupinladder/net/resp.py
@@ -9,14 +9,14 @@
 from lupinladder.errors import LupinladderError
 from lupinladder.net.ring_buffer import RingBuffer
 
-MAX_LINE_BYTES = 4096  # of a header, a simple string or an error, without its CR LF
+MAX_LINE_BYTES = 4096  # of a header, a simple string or an error, without CR LF
 MAX_NESTED_ARRAYS = 4
 MAX_INTEGER_DIGITS = 20
 CRLF = b"\r\n"
 
 
 class FramingFault(StrEnum):
-    """What is wrong with the bytes, as it is told to a client."""
+    """Why bytes are not valid RESP. The values are sent to the client."""
 
     NOT_A_NUMBER = "not a number"
     BULK_NOT_TERMINATED = "bulk string is not ended by CR LF"
@@ -26,11 +26,11 @@
 
 
 class FramingError(LupinladderError):
-    """The bytes are not RESP, so nothing that follows on the connection can be trusted."""
+    """The bytes are not valid RESP, so nothing that follows on the connection can be trusted."""
 
 
 class LengthError(FramingError):
-    """A bulk string or an array is declared with a negative length, or one above the limit."""
+    """The declared length of a bulk string or an array is negative or above the limit."""
 
     def __init__(self, length: int) -> None:
         super().__init__(f"length {length} is out of bounds")
@@ -49,11 +49,11 @@
 
 
 class Incomplete:
-    """The type of `INCOMPLETE`: no whole value has arrived yet."""
+    """The type of `INCOMPLETE`: no complete value has arrived yet."""
 
 
 INCOMPLETE = Incomplete()
-_CONTENT_FOLLOWS = Incomplete()  # a header or an element was read, and the value around it goes on
+_CONTENT_FOLLOWS = Incomplete()  # a header or an element was read, but the value around it is incomplete
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 
 
 def parse_integer(text: bytes) -> int:
-    """Read a decimal integer as RESP writes it; FramingError for anything else.
+    """Parse a decimal integer in RESP syntax. Raises FramingError for anything else.
 
     int() alone would also accept spaces, underscores and plus signs.
     """
@@ -76,14 +76,14 @@
 
 
 class RespParser:
-    """Takes one value at a time off a ring buffer and keeps its position between calls."""
+    """Parses one value at a time from a ring buffer and keeps its position between calls."""
 
     def __init__(self, max_bulk_bytes: int, max_array_length: int) -> None:
         self._max_bulk_bytes = max_bulk_bytes
         self._max_array_length = max_array_length
         self._open_arrays: list[_OpenArray] = []
-        self._bulk = bytearray()  # what has arrived of the bulk string that is being read
-        self._bulk_bytes = 0  # the length of that bulk string with its CR LF; 0: none is being read
+        self._bulk = bytearray()  # the received part of the bulk string that is being read
+        self._bulk_bytes = 0  # the length of that bulk string with CR LF; 0 if none is being read
 
     @property
     def idle(self) -> bool:
@@ -91,7 +91,7 @@
         return not self._open_arrays and not self._bulk_bytes
 
     def next(self, buffer: RingBuffer) -> Value | Incomplete:
-        """Take the next whole value; INCOMPLETE until one has arrived. Raises FramingError."""
+        """Return the next complete value, or INCOMPLETE if it has not arrived yet. Raises FramingError."""
         while True:
             value = self._read_bulk(buffer) if self._bulk_bytes else self._read_line(buffer)
             if self._open_arrays and not isinstance(value, Incomplete):
@@ -100,7 +100,7 @@
                 return value
 
     def _read_bulk(self, buffer: RingBuffer) -> bytes | Incomplete:
-        """Read on in a bulk string whose header has been read."""
+        """Continue reading a bulk string whose header has been read."""
         self._bulk += buffer.read(self._bulk_bytes - len(self._bulk))
         if len(self._bulk) < self._bulk_bytes:
             return INCOMPLETE
@@ -166,15 +166,15 @@
 
 
 def encode_bulk(data: bytes) -> bytes:
-    """A bulk string."""
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(data), data)
 
 
 def encode_array(items: Sequence[bytes]) -> bytes:
-    """An array of bulk strings."""
+    """Encode an array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(encode_bulk(item) for item in items)
 
 
 def encode_error(text: str) -> bytes:
-    """An error line; CR and LF in the text, which would end the line early, become spaces."""
+    """Encode an error line. CR and LF in the text would end the line early, so they become spaces."""
     return b"-" + text.replace("\r", " ").replace("\n", " ").encode("utf-8", "replace") + CRLF
--- a/lupinladder/net/ring_buffer.py
+++ b/lupinladder/net/ring_buffer.py
@@ -1,4 +1,4 @@
-"""A ring of bytes that starts small, grows by doubling up to a bound and shrinks again when empty."""
+"""A ring buffer of bytes that starts small, grows by doubling up to a bound and shrinks when it is empty."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class RingBufferFullError(LupinladderError, BufferError):
-    """More was appended than the bound allows."""
+    """The appended bytes exceed the available space."""
 
 
 class LineError(LupinladderError, ValueError):
-    """The held bytes do not begin with a line; the text says why."""
+    """The stored bytes do not start with a valid line; the text says why."""
 
 
 class RingBuffer:
-    """First in, first out: bytes are appended behind the newest and read from the oldest on."""
+    """A first-in, first-out buffer of bytes."""
 
     def __init__(self, bound: int) -> None:
-        self.bound = bound  # bytes that it holds at most
+        self.bound = bound  # maximum number of stored bytes
         self._buffer = bytearray(min(INITIAL_CAPACITY, bound))
         self._head = 0  # index of the oldest byte
         self._size = 0
@@ -39,11 +39,14 @@
             capacity *= 2
         larger = bytearray(min(capacity, self.bound))
         larger[: self._size] = self.peek(self._size)
-        self._buffer = larger  # views of the old one stay valid
+        self._buffer = larger  # views of the old buffer stay valid
         self._head = 0
 
     def writable_view(self) -> memoryview:
-        """Free bytes in one piece, to be read into; empty only at the bound. Then call `commit`."""
+        """Return free space in one piece, to read bytes into; it is empty only if the buffer is full.
+
+        Call `commit` after writing to it.
+        """
         if self._size == len(self._buffer) < self.bound:
             self._grow(self._size + 1)
         capacity = len(self._buffer)
@@ -53,13 +56,13 @@
         return memoryview(self._buffer)[tail : self._head if tail < self._head else capacity]
 
     def commit(self, count: int) -> None:
-        """Hold so many bytes that were written into the writable view."""
+        """Store `count` bytes that were written into the writable view."""
         self._size += count
 
     def append(self, data: bytes) -> None:
-        """Hold a copy of these bytes. RingBufferFullError if they are more than the available space."""
+        """Append a copy of `data`. Raises RingBufferFullError if it exceeds the available space."""
         if len(data) > self.available_space:
-            message = f"{len(data)} bytes do not fit into {self.available_space}"
+            message = f"{len(data)} bytes exceed the available space of {self.available_space} bytes"
             raise RingBufferFullError(message)
         if self._size + len(data) > len(self._buffer):
             self._grow(self._size + len(data))
@@ -72,31 +75,36 @@
             copied += len(part)
 
     def readable_view(self) -> memoryview:
-        """Held bytes in one piece, from the oldest on; not always all. Then call `discard`."""
+        """Return stored bytes in one piece, starting with the oldest; these are not always all of them.
+
+        Call `discard` after using them.
+        """
         return memoryview(self._buffer)[self._head : min(self._head + self._size, len(self._buffer))]
 
     def discard(self, count: int) -> None:
-        """Drop so many of the oldest bytes, which must be held."""
+        """Remove the `count` oldest bytes, which must be stored."""
         self._size -= count
         self._head = (self._head + count) % len(self._buffer) if self._size else 0
         if not self._size and len(self._buffer) > INITIAL_CAPACITY:
             self._buffer = bytearray(INITIAL_CAPACITY)
 
     def peek(self, count: int) -> bytes:
-        """The oldest bytes, at most so many, left in place."""
+        """Return at most `count` of the oldest bytes without removing them."""
         capacity = len(self._buffer)
         end = self._head + min(count, self._size)
         return bytes(self._buffer[self._head : min(end, capacity)] + self._buffer[: max(end - capacity, 0)])
 
     def read(self, count: int) -> bytes:
-        """Take the oldest bytes, at most so many."""
+        """Remove and return at most `count` of the oldest bytes."""
         data = self.peek(count)
         self.discard(len(data))
         return data
 
     def read_line(self, limit: int) -> bytes | None:
-        """Take a line and strip its CR LF; None while it is not whole. LineError if it is longer than the
-        limit, in bytes without CR LF, or ends in LF alone."""
+        """Remove a line and return it without CR LF; None while it is incomplete.
+
+        Raises LineError if the line is longer than `limit` bytes, without CR LF, or ends in LF alone.
+        """
         longest = limit + len(LINE_END)
         held = self.peek(longest)
         end = held.find(b"\n")
--- a/lupinladder/net/transient_errors.py
+++ b/lupinladder/net/transient_errors.py
@@ -1,17 +1,16 @@
-"""Which errors of system calls are over a moment later, by the manual pages of Linux. No I/O.
+"""The errors of system calls that may not recur a moment later, by the manual pages of Linux. No I/O.
 
-A call that failed so is made again: what is owed over it is owed still.
+A call that fails with such an error is retried, since the request or reply that needs it is still pending.
 """
 
 from __future__ import annotations
 
 import errno
 
-# The system is short of descriptors or memory just now: accept(2), socket(2), connect(2), epoll_ctl(2),
-# open(2).
+# The system lacks descriptors or memory for now: accept(2), socket(2), connect(2), epoll_ctl(2), open(2).
 RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC})
 
-# accept(2): the connection that was taken off the backlog has failed already; the next one may be fine.
+# accept(2): the connection taken off the backlog has already failed; the next one may be fine.
 FAILED_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -27,10 +26,10 @@
     }
 )
 
-# recv(2), send(2): nothing was read or written, and the connection is as it was.
+# recv(2), send(2): nothing was read or written, and the connection is unchanged.
 RETRIED_TRANSFER_ERRORS = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
-# At a start, what may be free a moment later: resources, and an address that a former process still holds.
+# At a start: resources that may become free, and an address that a former process still uses.
 RETRIED_START_ERRORS = RESOURCE_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EINTR, errno.EIO}
 
 
--- a/tests/connection_limits/test_connection_capacity.py
+++ b/tests/connection_limits/test_connection_capacity.py
@@ -1,4 +1,4 @@
-"""How much room is kept for new clients."""
+"""The capacity that is kept for new clients."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     def test_room_is_kept_for_arrivals_and_no_connection_is_closed_without_need(self) -> None:
         capacity = ConnectionCapacity(80, 0)
         self.assertEqual(capacity.excess(40, 100), 0)
-        # At the limit nobody knows how many would like to connect, so a quarter is to be free.
+        # At the limit it is unknown how many clients want to connect, so a quarter should be free.
         self.assertEqual(capacity.excess(80, 200), 20)
         for now in range(300, 2300, 100):
             for _ in range(10):
                 capacity.record_accept()
             excess = capacity.excess(60, now)
-        self.assertEqual(excess, 10)  # at 100 arrivals a second
+        self.assertEqual(excess, 10)  # at 100 arrivals per second
--- a/tests/connection_limits/test_eviction.py
+++ b/tests/connection_limits/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which idle clients are evicted."""
+"""The selection of idle clients for eviction."""
 
 from __future__ import annotations
 
--- a/tests/connection_limits/test_idle_return_estimator.py
+++ b/tests/connection_limits/test_idle_return_estimator.py
@@ -1,4 +1,4 @@
-"""How likely idle clients are to return."""
+"""The estimated probability that idle clients return."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         estimator = estimator_after(1, 100, 0.8, 300)
         before = estimator.return_probability(1, 250)
         for _ in range(500):
-            # Closed by the proxy at 250 ms: nothing is known about the span that this was in.
+            # The proxy closed the connection at 250 ms, so the end of this span was not observed.
             estimator.record_outlived(1, 0, idle_span(250))
         self.assertAlmostEqual(estimator.return_probability(1, 250), before, delta=0.01)
 
--- a/tests/net/test_client_command.py
+++ b/tests/net/test_client_command.py
@@ -1,4 +1,4 @@
-"""Commands of clients."""
+"""Parsing and forwarding of client commands."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.assertEqual(
             (write.request_class, write.is_write, write.is_retry, write.size), (1, True, True, 12.5)
         )
-        # Only d changes on the way to a cache node or the origin, and it stays in its place.
+        # The label d is the only change on the way to a cache node or the origin, and it keeps its position.
         labels = b"c=put,d=41,k=5c,r=1,size=12.5"
         self.assertEqual(write.with_deadline(41.4)[3], labels)
         self.assertEqual(read.with_deadline(0.2), [*GET[:3], b"c=read,d=1"])
@@ -40,7 +40,7 @@
         words = [*GET[:3], b"c=read,t=b,d=480,h=96500"]
         read = parse_command(words, CLASSES, ["a", "b"])
         self.assertEqual((read.tenant, read.expected_work), (1, 96.5))  # the label is in microseconds
-        # Where the settings name no tenants the label is passed on unread.
+        # If the settings name no tenants, the label is forwarded without being interpreted.
         self.assertEqual(parse_command(words, CLASSES).tenant, 0)
         for labels in (b"c=read,d=480", b"c=read,t=c,d=480", b"c=read,t=,d=480", b"c=read,t=b,d=480,h=x"):
             with self.subTest(labels=labels), self.assertRaises(CommandError):
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection on real sockets: commands and their replies."""
+"""A client's connection on real sockets: commands and their replies."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
                 self.loop.run_once()
             [request] = [e for e in self.script.events[count:] if isinstance(e, RequestReceived)]
             self.assertTrue(max(timeout - 20, 1) <= request.timeout <= timeout, request.timeout)
-            self.assertTrue(latency > 1 or request.timeout == timeout)  # a short round is not counted
+            self.assertTrue(latency > 1 or request.timeout == timeout)  # a short iteration is not subtracted
 
 
 class Pipelining(NetworkScene):
@@ -92,7 +92,7 @@
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         full_until = self.loop.now() + 200
         self.loop.call_at(full_until, lambda: None)
-        self.until(lambda: self.loop.now() >= full_until, "a time")
+        self.until(lambda: self.loop.now() >= full_until, "200 ms with a full pipeline")
         self.script.react = lambda event: [Reject(1)] if isinstance(event, TimerFired) else []
         self.engine.notify(TimerFired(1))
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH + 2, "the next command")
@@ -105,7 +105,7 @@
         self.script.react = lambda event: []
         client = self.client()
         client.conn._loop.watch(client.conn._sock, client.conn._mask, 0, client.conn._ready)
-        client.conn._mask = 0  # it does not read
+        client.conn._mask = 0  # the client does not read
         client.conn._sock.setblocking(True)
         client.conn._sock.sendall(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:40]))
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
@@ -127,7 +127,7 @@
         self.at_node().conn.send(SERVED)
         self.until(lambda: client.ends, "a close")
         self.assertEqual(client.got, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
-        self.assertEqual(client.ends, [True])  # an end, no reset
+        self.assertEqual(client.ends, [True])  # closed in order, not reset
 
     def test_a_client_that_sends_on_after_its_error_is_cut_off(self) -> None:
         client = self.client()
@@ -160,7 +160,7 @@
         broken.reset()
         self.until(lambda: self.disconnected() == {1, 2}, "their disconnects")
         node.conn.send(SERVED)
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         self.assertEqual((client.got, client.ends), (b"", [True]))
         self.assertTrue(self.engine.is_idle)
         self.assertFalse(self.front.open_ids or self.front.clients)
@@ -174,7 +174,8 @@
             self.engine.notify(TimerFired(1))
             client.conn._sock.shutdown(socket.SHUT_WR)
             self.until(lambda: self.disconnected() == {2}, "its disconnect")
-        self.until(lambda: client.ends, "the end")  # a reply behind the dropped one would be taken for it
+        self.until(lambda: client.ends, "the close")
+        # The client would take a reply behind the dropped one for the dropped one.
         self.assertEqual((client.got, client.ends), (b"-BUSY\r\n+PONG\r\n-ERR unknown command\r\n", [True]))
 
     def test_commands_still_unread_when_the_client_ends_are_dropped(self) -> None:
@@ -184,14 +185,14 @@
         )
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         client.conn._sock.shutdown(socket.SHUT_WR)
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         received = [e for e in self.script.events if isinstance(e, RequestReceived)]
         self.assertEqual((len(received), len(self.disconnected())), (MAX_PIPELINE_DEPTH, MAX_PIPELINE_DEPTH))
         self.assertTrue(self.engine.is_idle)
 
 
 class UnseenDisconnects(NetworkScene):
-    """A client may have left long before the loop comes to see it: nothing is sent for it any more."""
+    """A client may disconnect long before the loop detects it; nothing must be sent for it after that."""
 
     def test_a_request_that_lay_unread_beside_the_end_of_its_client_is_not_sent(self) -> None:
         client = self.client()
@@ -199,7 +200,7 @@
         client.conn._sock.send(get())
         client.conn.close()
         self.stand_still(1000)
-        self.until(lambda: not self.front.clients, "its leaving")
+        self.until(lambda: not self.front.clients, "the disconnect")
         self.assertFalse([e for e in self.script.events if isinstance(e, RequestReceived)])
 
     def test_a_failed_attempt_is_not_repeated_if_the_end_of_its_client_lies_unread(self) -> None:
@@ -212,7 +213,7 @@
             else []
         )
         client = self.client(get())
-        self.at_node().conn.send(b"-ERR failed\r\n")  # which comes before the end
+        self.at_node().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
         client.conn.close()
         self.stand_still(300)
         self.until(lambda: len(self.script.ends()) == 2, "the ends of both attempts")
@@ -229,8 +230,8 @@
         client.conn._sock.send(b"x" * 4096)
         client.conn.close()
         left_at = self.loop.now()
-        self.until(lambda: not self.front.clients, "its leaving")
-        self.assertLess(self.loop.now() - left_at, 400)  # and not by the requests' deadlines
+        self.until(lambda: not self.front.clients, "the disconnect")
+        self.assertLess(self.loop.now() - left_at, 400)  # earlier than the requests' deadlines
         self.assertTrue(self.engine.is_idle)
 
 
@@ -254,11 +255,11 @@
         self.script.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
         first = self.client(get() + get(b"b"))
         self.until(lambda: len(self.script.events) == 2, "both requests")
-        self.engine.notify(TimerFired(1))  # b has its reply, which waits for that to a
+        self.engine.notify(TimerFired(1))  # b has its reply, which waits for the reply to a
         second = self.client(get(b"b"))
-        self.until(lambda: len(self.script.events) == 4, "b once more")
+        self.until(lambda: len(self.script.events) == 4, "the second request b")
         first.reset()
-        self.until(lambda: len(self.front.clients) == 1, "the end of the first")
+        self.until(lambda: len(self.front.clients) == 1, "the disconnect of the first client")
         self.answers(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
         second.conn.close()
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The listener on real sockets: timeouts and shutdown."""
+"""The listener on real sockets: timeouts, accepting and shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from tests.support.network_scene import SERVED, NetworkScene, RecordingPeer, get, once_to
 
 PING = b"*1\r\n$4\r\nPING\r\n"
-# What accept(2) documents beside an empty backlog: over a moment later, and no word of who waits.
+# Transient errors of accept(2) other than that of an empty backlog. They do not tell whether clients are
+# waiting.
 TRANSIENT_ACCEPT_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENETDOWN, errno.EPROTO)
 
 
@@ -68,7 +69,7 @@
     STALL_MS = 400.0
 
     def test_what_lay_unread_before_its_connection_was_accepted_is_taken_off_its_time(self) -> None:
-        """As at a start that takes a while: the socket listens, and nobody accepts yet."""
+        """This happens at a slow start: the socket listens, but no connection is accepted yet."""
         self.script.react = lambda event: []
         count = MAX_ACCEPTS_PER_EVENT + 3
         self.budget.limit = 4 * count
@@ -85,7 +86,7 @@
 
 class Shutdown(NetworkScene):
     def shut_down_at_once(self) -> None:
-        """Do all at once what a shutdown does within half a second."""
+        """Do immediately what a shutdown does within half a second."""
         self.front.shut_down()
         self.front._stop_listening()
         self.front._close_idle_clients()
@@ -93,36 +94,37 @@
     def test_a_command_written_before_its_idle_connection_is_closed_is_still_answered(self) -> None:
         client = self.client(PING)
         self.answers(client, b"+PONG\r\n")
-        client.conn._sock.send(get())  # not read yet when the shutdown closes idle connections
+        client.conn._sock.send(get())  # not yet read when the shutdown closes idle connections
         self.shut_down_at_once()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         self.assertEqual((client.got, client.ends), (b"+PONG\r\n$1\r\nV\r\n", [True]))
         self.assertTrue(self.engine.is_idle)
         client.conn.close()
         self.until(lambda: self.front.is_finished, "the end of the shutdown")
 
     def test_a_command_far_behind_others_is_read_before_its_idle_connection_is_closed(self) -> None:
-        echo = b"*2\r\n$4\r\nPING\r\n$11\r\n" + b"x" * 11 + b"\r\n"  # 32 bytes: reads end between two
+        echo = b"*2\r\n$4\r\nPING\r\n$11\r\n" + b"x" * 11 + b"\r\n"  # 32 bytes: reads end between commands
         client = self.client(PING)
         self.answers(client, b"+PONG\r\n")
         client.conn._sock.send(echo * 512 + get())
         self.shut_down_at_once()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         self.assertTrue(client.got.endswith(b"$1\r\nV\r\n"))
 
     def test_the_only_proxy_serves_on_after_its_signal_and_finally_says_when_to_retry(self) -> None:
         client = self.client(PING)
         self.answers(client, b"+PONG\r\n")
         self.front.shut_down()
-        self.front._stop_listening()  # no new clients; those that are connected stay
+        self.front._stop_listening()  # no new clients are accepted; connected clients stay
         client.conn.send(get())
         node = self.at_node()
         node.conn.send(SERVED)
         self.answers(client, b"+PONG\r\n$1\r\nV\r\n")
         self.assertFalse(self.front.is_finished)
-        # Deadline 1500 ms, latency objective 500: by 2 s all is answered, at 2.2 s the kill may come.
+        # With a deadline of 1500 ms and an objective of 500 ms, all is answered by 2 s; the kill may come at
+        # 2.2 s.
         self.front.shutdown = ShutdownSchedule(
             Settings([RequestClass(500, 1500)], max_retry_after=400), self.loop.now() - 1700
         )
@@ -131,7 +133,7 @@
         self.assertIn(int(client.got.rsplit(b" ", 1)[1]), range(300, 401))
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
         self.front._close_idle_clients()
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         client.conn.close()
         self.until(lambda: self.front.is_finished, "the end of the shutdown")
 
@@ -150,7 +152,7 @@
         )
         self.script.react = lambda event: [Reject(1)]
         self.engine.notify(TimerFired(1))
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         self.assertEqual(client.got, b"-BUSY\r\n-BUSY\r\n")
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
 
@@ -159,12 +161,12 @@
     ) -> None:
         self.script.react = once_to()
         client = self.client(get())
-        self.at_node()  # which hangs through the whole shutdown
+        self.at_node()  # the node does not reply during the whole shutdown
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
         nearly_over = ShutdownSchedule(settings, self.loop.now() - 1950)
         with mock.patch.object(self.engine, "shutdown_schedule", lambda: nearly_over):
             self.front.shut_down()
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
         self.assertEqual(client.got, b"-ERR failed\r\n")
         self.assertLess(self.loop.now(), nearly_over.killed_at)
 
@@ -180,23 +182,23 @@
         self.assertFalse(self.front.is_finished)
         self.assertEqual(len(self.front.clients), MAX_ACCEPTS_PER_EVENT + 3)
         self.budget.limit = limit
-        self.until(lambda: self.front._stopped, "the end of the listener")
+        self.until(lambda: self.front._stopped, "the close of the listener")
         self.front._close_idle_clients()
-        self.until(lambda: not self.front.clients, "the end of all")
+        self.until(lambda: not self.front.clients, "the close of all clients")
         self.assertEqual([one.recv(99) for one in waiting], [b"+PONG\r\n"] * len(waiting))
 
     def test_clients_that_wait_are_answered_though_accept_fails_for_a_moment(self) -> None:
-        failures = [OSError(number, "for a moment") for number in TRANSIENT_ACCEPT_ERRORS]
+        failures = [OSError(number, "transient") for number in TRANSIENT_ACCEPT_ERRORS]
         self.front._sock = FailingAccept(self.front._sock, failures)  # type: ignore[assignment]
         waiting = socket.create_connection(self.address)
         self.addCleanup(waiting.close)
         waiting.sendall(PING)
         self.front.shut_down()
         self.front._stop_listening()
-        self.until(lambda: self.front._stopped, "the end of the listener")
+        self.until(lambda: self.front._stopped, "the close of the listener")
         self.until(lambda: not len(self.front.clients) or self.front.idle_clients, "the reply")
         self.front._close_idle_clients()
-        self.until(lambda: not self.front.clients, "the end of all")
+        self.until(lambda: not self.front.clients, "the close of all clients")
         waiting.settimeout(1)
         self.assertEqual(waiting.recv(99), b"+PONG\r\n")
 
@@ -220,10 +222,10 @@
     def test_a_client_whose_reply_is_not_all_taken_yet_is_not_idle(self) -> None:
         client = self.client(get())
         node = self.at_node()
-        with mock.patch.object(Connection, "_flush"):  # the system takes nothing
+        with mock.patch.object(Connection, "_flush"):  # the system takes no bytes
             node.conn._sock.sendall(SERVED)
             self.until(lambda: self.script.ends(), "the answer")
             self.assertFalse(self.front.idle_clients or self.front.idle_clients.evict_one(self.loop.now()))
             self.shut_down_at_once()
         self.answers(client, b"$1\r\nV\r\n")
-        self.until(lambda: client.ends, "the end")
+        self.until(lambda: client.ends, "the close")
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections whose system calls fail as Linux documents: what is over a moment later costs nothing."""
+"""Connections whose system calls fail with transient errors documented by Linux: no reply is lost."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.addCleanup(far.close)
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         cut_off = metrics.connections_cut_off
-        # A socket pair has no TCP_NODELAY, which may fail.
+        # TCP_NODELAY does not exist for a socket pair; setting it may fail.
         ending = Connection(self.loop, DescriptorBudget(9), near, NULL_HANDLER)
         ending.send(b"x" * 200_000)
         ending.close_gracefully()
@@ -39,7 +39,7 @@
         while ending.is_open:
             read_at = self.loop.now() + self.LINGER_MS / 2
             self.loop.call_at(read_at, lambda: None)
-            self.until(lambda: self.loop.now() >= read_at, "a time")  # noqa: B023
+            self.until(lambda: self.loop.now() >= read_at, "the time of the next read")  # noqa: B023
             if reads:
                 received += len(far.recv(30_000, socket.MSG_DONTWAIT))
         while reads and (rest := len(far.recv(1 << 20))):
@@ -49,9 +49,11 @@
 
 class FailingCalls(NetworkScene):
     def fail_first(self, name: str, of: set[int], numbers: tuple[int, ...] = TRANSIENT) -> list[OSError]:
-        """Have the next calls of this socket method fail on sockets with these descriptors; returns what is
-        still to be raised."""
-        failures = [OSError(number, "for a moment") for number in numbers]
+        """Make the next calls of this socket method fail for sockets with these descriptors.
+
+        Returns the errors that are still to be raised.
+        """
+        failures = [OSError(number, "transient") for number in numbers]
         real: Callable[..., Any] = getattr(socket.socket, name)
 
         def call(sock: socket.socket, *args: Any) -> Any:
@@ -65,7 +67,7 @@
         return failures
 
     def accepted(self, client: RecordingPeer) -> set[int]:
-        """The descriptors of the proxy's ends of the clients."""
+        """Return the descriptors of the proxy's sockets to the clients."""
         self.until(lambda: client.conn.is_open and self.front.clients, "the client")
         return {one.conn._sock.fileno() for one in self.front.clients}
 
@@ -82,7 +84,7 @@
 
     def test_a_client_is_served_though_its_connection_could_not_be_set_up_at_once(self) -> None:
         register = self.loop._selector.register
-        failures = [OSError(number, "for a moment") for number in (errno.ENOMEM, errno.ENOSPC)]
+        failures = [OSError(number, "transient") for number in (errno.ENOMEM, errno.ENOSPC)]
 
         def register_after_failures(*args: Any) -> Any:
             is_clients = not self.node.peers and args[0] is not client.conn._sock
@@ -101,7 +103,7 @@
         really_connect = socket.socket.connect_ex
 
         def interrupted(sock: socket.socket, address: Any) -> int:
-            really_connect(sock, address)  # as on Linux: the connection is made all the same
+            really_connect(sock, address)  # as on Linux: the connection is established nevertheless
             return errno.EINTR
 
         with mock.patch.object(socket.socket, "connect_ex", interrupted):
@@ -112,8 +114,8 @@
 
     def test_the_listener_is_watched_again_though_the_selector_had_no_memory_for_it(self) -> None:
         self.loop.watch(self.front._sock, READ, 0, self.front._on_readable)
-        self.front._mask = 0  # as while no descriptor is left for a client
-        no_memory = OSError(errno.ENOMEM, "for a moment")
+        self.front._mask = 0  # as while no descriptor is free for a client
+        no_memory = OSError(errno.ENOMEM, "transient")
         with mock.patch.object(self.loop._selector, "register", side_effect=no_memory):
             self.front.update_listening()
         client = self.client(get())
@@ -127,4 +129,4 @@
             self.until(lambda: self.front.clients, "the client")
         self.assertEqual(self.budget.used, used + 1)
         client.conn.close()
-        self.until(lambda: not self.front.clients and self.budget.used == used, "the end")
+        self.until(lambda: not self.front.clients and self.budget.used == used, "the disconnect")
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP responses, whole and broken."""
+"""Valid and invalid HTTP responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     def test_a_response_that_cannot_be_trusted_is_an_error(self) -> None:
         for data in (
             b"nonsense\r\n\r\n",
-            b"HTTP/1.1 200 OK\r\n\r\n123456789",  # no length, and no end in sight
+            b"HTTP/1.1 200 OK\r\n\r\n123456789",  # no length, and more bytes than allowed
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n123456789",
             b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 99 + b"\r\n",
             b"HTTP/1.1 200 OK\r\na: " + b"x" * 40_000,
@@ -65,4 +65,4 @@
                 reader = http.ResponseReader(8)
                 self.assertEqual((len(reader.feed(data)), reader.is_idle), (answers, idle))
         with self.assertRaises(http.HttpError):
-            reader.feed(whole)  # nothing after the noise can be trusted
+            reader.feed(whole)  # no bytes after the invalid ones are parsed
--- a/tests/net/test_idle_client_tracker.py
+++ b/tests/net/test_idle_client_tracker.py
@@ -1,4 +1,4 @@
-"""Idle clients on real sockets: which are closed to make room."""
+"""Eviction of idle clients on real sockets."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 
 class Eviction(NetworkScene):
     def test_clients_that_send_one_command_make_room_and_those_that_return_are_kept(self) -> None:
-        """Incident r0d6542: such connections filled the clients' share, and nobody could connect any more."""
-        for _ in range(60):  # of other clients: the second command comes soon, or never
+        """Incident r0d6542: clients with one command filled the clients' share, and no other client could
+        connect."""
+        for _ in range(60):  # other clients sent a second command soon, or never
             self.front.return_estimator.record_outlived(1, 0, 6)
             self.front.return_estimator.record_return(2, 30)
         share = self.SOCKETS // 3
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP framing."""
+"""The RESP parser and encoders."""
 
 from __future__ import annotations
 
