--- a/lupinladder/connection_limits/connection_capacity.py
+++ b/lupinladder/connection_limits/connection_capacity.py
@@ -18,27 +18,29 @@
 
     def __init__(self, share: int, now: float) -> None:
         self.share = max(share, MIN_SHARE)
-        self._accepted = 0  # connections accepted since the last measurement
+        self._accepted_count = 0  # connections accepted since the last measurement
         self._measured_at = now
         self._arrival_rate = 0.0  # EMA, connections per ms
 
     def record_accept(self) -> None:
         """Count an accepted connection."""
-        self._accepted += 1
+        self._accepted_count += 1
 
-    def excess(self, held: int, now: float) -> int:
-        """Return the maximum number of connections to close now, of those that are open.
+    def excess(self, open_count: int, now: float) -> int:
+        """Return how many of `open_count` open connections should be closed now, at most.
 
         Each call also ends a measurement of the arrival rate.
         """
         self._measure_arrivals(now)
         wanted = max(self._arrival_rate * ARRIVAL_LOOKAHEAD_MS, self.share * MIN_FREE_FRACTION)
         free = min(wanted, self.share * MAX_FREE_FRACTION)
-        return max(0, round(held + free) - self.share)
+        return max(0, round(open_count + free) - self.share)
 
     def _measure_arrivals(self, now: float) -> None:
         elapsed = now - self._measured_at
         if elapsed > 0:
-            self._arrival_rate += (self._accepted / elapsed - self._arrival_rate) * ARRIVAL_RATE_EMA_ALPHA
-            self._accepted = 0
+            self._arrival_rate += (
+                self._accepted_count / elapsed - self._arrival_rate
+            ) * ARRIVAL_RATE_EMA_ALPHA
+            self._accepted_count = 0
             self._measured_at = now
--- a/lupinladder/connection_limits/idle_return_estimator.py
+++ b/lupinladder/connection_limits/idle_return_estimator.py
@@ -76,12 +76,12 @@
         current_span = idle_span(idle_time)
         if current_span >= IDLE_SPAN_COUNT:
             return 0.0
-        stay_probability = 1.0
+        no_return_probability = 1.0
         return_rate = INITIAL_RETURN_RATE
         for span in range(min(current_span + LOOKAHEAD_SPANS, IDLE_SPAN_COUNT)):
             returned = self._returned[group][span]
             outlived = self._outlived[group][span]
             return_rate = (returned + PRIOR_WEIGHT * return_rate) / (returned + outlived + PRIOR_WEIGHT)
             if span >= current_span:
-                stay_probability *= 1 - return_rate
-        return 1 - stay_probability
+                no_return_probability *= 1 - return_rate
+        return 1 - no_return_probability
--- a/lupinladder/net/client_command.py
+++ b/lupinladder/net/client_command.py
@@ -19,8 +19,8 @@
 
 GET_COMMAND = b"OBJ.GET"
 SET_COMMAND = b"OBJ.SET"
-GET_LENGTH = 4  # name, key, id, labels
-SET_LENGTH = 5  # the same and the value
+GET_ARGUMENT_COUNT = 4  # name, key, id, labels
+SET_ARGUMENT_COUNT = 5  # the same and the value
 
 CLASS_LABEL = b"c"
 TENANT_LABEL = b"t"
@@ -35,7 +35,7 @@
 _LABEL_NUMBER = re.compile(rb"[0-9]+(\.[0-9]+)?")
 
 
-class CommandFault(StrEnum):
+class CommandErrorReason(StrEnum):
     """Why a command is invalid. The values are sent to the client."""
 
     UNKNOWN_COMMAND = "unknown command"
@@ -87,13 +87,13 @@
             return int(key, 16)
         return int.from_bytes(blake2b(key, digest_size=KEY_DIGEST_BYTES).digest(), "big")
 
-    def request_received(self, number: int, timeout: float) -> RequestReceived:
+    def request_received(self, request_number: int, timeout: float) -> RequestReceived:
         """Return the event for the decision module.
 
-        `number` identifies the request within the proxy; `timeout` is in ms.
+        `request_number` identifies the request within the proxy; `timeout` is in ms.
         """
         return RequestReceived(
-            request_id=number,
+            request_id=request_number,
             request_class=self.request_class,
             timeout=timeout,
             key=self.key,
@@ -104,17 +104,17 @@
             size=self.size,
         )
 
-    def labels_with_deadline(self, wait: float) -> bytes:
+    def labels_with_deadline(self, timeout: float) -> bytes:
         """Return the labels for a server, in the client's order and unchanged except for `d`.
 
-        `d` becomes the time that the proxy waits for the server: `wait`, rounded to whole ms, at least 1.
+        `d` becomes the time that the proxy waits for the server: `timeout`, rounded to whole ms, at least 1.
         """
-        labels = {**self.labels, DEADLINE_LABEL: b"%d" % max(1, round(wait))}
+        labels = {**self.labels, DEADLINE_LABEL: b"%d" % max(1, round(timeout))}
         return b",".join(name + b"=" + value for name, value in labels.items())
 
-    def with_deadline(self, wait: float) -> list[bytes]:
-        """Return the command for a cache node, unchanged except for the label `d` (`wait` in ms)."""
-        return [*self.arguments[:3], self.labels_with_deadline(wait), *self.arguments[4:]]
+    def with_deadline(self, timeout: float) -> list[bytes]:
+        """Return the command for a cache node, unchanged except for the label `d` (`timeout` in ms)."""
+        return [*self.arguments[:3], self.labels_with_deadline(timeout), *self.arguments[4:]]
 
 
 def parse_command(
@@ -129,13 +129,13 @@
     labels = _parse_labels(arguments[3])
     class_name = labels.get(CLASS_LABEL, b"").decode()
     if class_name not in classes:
-        raise CommandError(CommandFault.UNKNOWN_CLASS)
+        raise CommandError(CommandErrorReason.UNKNOWN_CLASS)
     tenant_name = labels.get(TENANT_LABEL, b"").decode()
     if tenants and tenant_name not in tenants:
-        raise CommandError(CommandFault.UNKNOWN_TENANT)
+        raise CommandError(CommandErrorReason.UNKNOWN_TENANT)
     timeout = _label_number(labels, DEADLINE_LABEL)
     if timeout <= 0:
-        raise CommandError(CommandFault.MISSING_DEADLINE)
+        raise CommandError(CommandErrorReason.MISSING_DEADLINE)
     return ClientCommand(
         arguments=list(arguments),
         labels=labels,
@@ -153,24 +153,24 @@
     """Check the name, the argument count, the key and the id; return whether the command is a write."""
     name = arguments[0].upper()
     if name not in (GET_COMMAND, SET_COMMAND):
-        raise CommandError(CommandFault.UNKNOWN_COMMAND)
+        raise CommandError(CommandErrorReason.UNKNOWN_COMMAND)
     is_write = name == SET_COMMAND
-    if len(arguments) != (SET_LENGTH if is_write else GET_LENGTH):
-        raise CommandError(CommandFault.ARGUMENT_COUNT)
+    if len(arguments) != (SET_ARGUMENT_COUNT if is_write else GET_ARGUMENT_COUNT):
+        raise CommandError(CommandErrorReason.ARGUMENT_COUNT)
     if not _KEY_OR_ID.fullmatch(arguments[1]) or not _KEY_OR_ID.fullmatch(arguments[2]):
-        raise CommandError(CommandFault.KEY_OR_ID)
+        raise CommandError(CommandErrorReason.KEY_OR_ID)
     return is_write
 
 
 def _parse_labels(text: bytes) -> dict[bytes, bytes]:
     """Parse `name=value,...` and keep the order of the labels; each name may occur only once."""
     if len(text) > MAX_LABELS_BYTES or not _LABELS.fullmatch(text):
-        raise CommandError(CommandFault.LABELS)
+        raise CommandError(CommandErrorReason.LABELS)
     labels: dict[bytes, bytes] = {}
     for pair in text.split(b","):
         name, _, value = pair.partition(b"=")
         if name in labels:
-            raise CommandError(CommandFault.DUPLICATE_LABEL)
+            raise CommandError(CommandErrorReason.DUPLICATE_LABEL)
         labels[name] = value
     return labels
 
--- a/lupinladder/net/client_connection.py
+++ b/lupinladder/net/client_connection.py
@@ -21,7 +21,7 @@
     from lupinladder.net.client_listener import ClientListener
 
 MAX_PIPELINE_DEPTH = 32  # commands of one client that may await replies; further bytes are left unread
-MAX_COMMAND_LENGTH = 16  # maximum number of elements in the array of a command
+MAX_COMMAND_ELEMENTS = 16  # maximum number of elements in the array of a command
 # A client that has sent no command, or only a part of one, must be closed within 3 s of connecting.
 FIRST_COMMAND_TIMEOUT_MS = 2300.0
 COMMAND_TIMEOUT_MS = 2400.0
@@ -36,7 +36,7 @@
     def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
         self._listener = listener
         self._pending_replies = deque[PendingReply]()  # in the order of the commands
-        self._parser = resp.RespParser(MAX_STORED_VALUE_BYTES, MAX_COMMAND_LENGTH)
+        self._parser = resp.RespParser(MAX_STORED_VALUE_BYTES, MAX_COMMAND_ELEMENTS)
         self._closing = False  # no more commands are read, and it closes after the pending replies
         self._reading = False
         self._reading_paused = False  # MAX_PIPELINE_DEPTH was reached; commands may be left unread
@@ -45,7 +45,7 @@
         self._command_incomplete = False
         accepted_at = listener.loop.now()
         self.activity = ClientActivity(listener.return_estimator, accepted_at)
-        self._command_began_at = accepted_at  # when the command that is being received started
+        self._command_started_at = accepted_at  # when the command that is being received started
         self.conn = Connection(listener.loop, listener.budget, sock, self, rank=WatchRank.CLIENT)
 
     @property
@@ -72,7 +72,7 @@
         if self._reading:
             return  # reentered through `flush` after an immediate reply
         if self.activity.command_count and not self._command_incomplete:
-            self._command_began_at = self._listener.loop.now()
+            self._command_started_at = self._listener.loop.now()
         self._reading = True
         self._reading_paused = False
         try:
@@ -98,19 +98,19 @@
         self._unread_since = min(self._unread_since, self._listener.loop.now())
 
     def _resume_reading(self) -> None:
-        self.conn.look_for_end()
+        self.conn.detect_disconnect()
         if self._reading_paused and self.conn.is_open and len(self._pending_replies) < MAX_PIPELINE_DEPTH:
             self.on_data()
             self.conn.resume_reading()
 
     def _handle_command(self, value: resp.Value) -> None:
         if not _is_command(value):
-            raise resp.FramingError(resp.FramingFault.NOT_A_COMMAND)
+            raise resp.FramingError(resp.FramingErrorReason.NOT_A_COMMAND)
         if not value:
             return
         now = self._listener.loop.now()
         self.activity.on_command(not self._pending_replies, now)
-        self._command_began_at = now
+        self._command_started_at = now
         if _is_ping(value):
             self._append_reply().encoded = _ping_reply(value)
             return
@@ -123,17 +123,17 @@
         self._dispatch(command, now)
 
     def _dispatch(self, command: ClientCommand, now: float) -> None:
-        if self.conn.has_ended:
+        if self.conn.is_disconnected:
             # The client waits neither for this reply nor for later ones; `on_closed` drops them.
             self._append_reply()
             return
         request_id = command.request_id
-        if request_id in self._listener.open_ids:
+        if request_id in self._listener.open_request_ids:
             # Attempts of two requests with the same id could be mistaken for each other.
             metrics.invalid_commands += 1
             self._append_error("id is that of another open query")
             return
-        self._listener.open_ids.add(request_id)
+        self._listener.open_request_ids.add(request_id)
         reply = self._append_reply(request_id)
         shutdown = self._listener.shutdown
         if shutdown:
@@ -150,7 +150,7 @@
             unread_time = 0.0
         timeout = max(command.timeout - unread_time, MIN_REQUEST_TIMEOUT_MS)
         reply.request = self._listener.dispatcher.dispatch(
-            command, lambda number: command.request_received(number, timeout), reply
+            command, lambda request_number: command.request_received(request_number, timeout), reply
         )
 
     # Writing
@@ -172,7 +172,7 @@
     def _release_id(self, reply: PendingReply) -> None:
         """Allow the id to be used again: its request has a reply, or the client has disconnected."""
         if reply.request_id:
-            self._listener.open_ids.discard(reply.request_id)
+            self._listener.open_request_ids.discard(reply.request_id)
             reply.request_id = b""  # released once: the id may be in use again when this client disconnects
 
     def flush(self) -> None:
@@ -235,7 +235,7 @@
             self.flush()
         else:
             metrics.connections_closed[CloseReason.CLIENT_BROKE] += 1
-            self._listener.forget(self)
+            self._listener.remove_client(self)
             self._listener.update_listening()
 
     def _close_after_replies(self, reason: CloseReason) -> None:
@@ -250,7 +250,7 @@
             )
         if self in self._listener.clients:
             metrics.connections_closed[reason] += 1
-            self._listener.forget(self)
+            self._listener.remove_client(self)
             self._listener.await_closing(self.conn)
         self.conn.close_gracefully()
         self._listener.update_listening()
@@ -268,10 +268,10 @@
             return True
         return False
 
-    def close_if_overdue(self, now: float, descriptors_short: bool) -> None:
+    def close_if_timed_out(self, now: float, descriptors_short: bool) -> None:
         """Close a client that is idle or sends a command for too long; a command usually takes only
         moments."""
-        self.conn.look_for_end()
+        self.conn.detect_disconnect()
         if self._pending_replies or self._closing or len(self.conn.outbox):
             return
         if self.idle:
@@ -292,7 +292,7 @@
         return IDLE_TIMEOUT_MS if descriptors_short else inf
 
     def _is_command_overdue(self, now: float) -> bool:
-        if now - self._command_began_at > COMMAND_TIMEOUT_MS:
+        if now - self._command_started_at > COMMAND_TIMEOUT_MS:
             return True
         shutdown = self._listener.shutdown
         return shutdown is not None and now > shutdown.answer_by
--- a/lupinladder/net/client_listener.py
+++ b/lupinladder/net/client_listener.py
@@ -46,8 +46,8 @@
 class AcceptResult(Enum):
     """The result of one call of accept."""
 
-    TAKEN = auto()  # a connection was taken off the backlog; it may have failed already
-    NONE_WAITS = auto()
+    DEQUEUED = auto()  # a connection was taken off the backlog; it may have failed already
+    BACKLOG_EMPTY = auto()
     FAILED = auto()  # it is unknown whether connections are waiting
 
 
@@ -76,7 +76,7 @@
         self.closing_connections: list[Connection] = []  # of former clients, until all bytes are sent
         self.shutdown: ShutdownSchedule | None = None  # set by `shut_down`
         self.closes_idle_clients = False  # during a shutdown: each connection is closed as soon as it is idle
-        self.open_ids = set[bytes]()  # ids of the requests that await their replies
+        self.open_request_ids = set[bytes]()  # ids of the requests that await their replies
         self._stopped = False  # the listening socket has been closed
         self._mask = 0
         self._accept_retry: Timer | None = None
@@ -86,7 +86,7 @@
         self.update_listening()
         self._sweep()
 
-    def forget(self, client: ClientConnection) -> None:
+    def remove_client(self, client: ClientConnection) -> None:
         """Remove a client whose connection is closing or closed."""
         self.clients.pop(client, None)
         self.idle_clients.discard(client)
@@ -97,7 +97,7 @@
         Connections that have closed since the last call are dropped; otherwise the list would grow with each
         connection that was ever accepted.
         """
-        self.closing_connections = [one for one in self.closing_connections if one.is_open]
+        self.closing_connections = [other for other in self.closing_connections if other.is_open]
         self.closing_connections.append(connection)
 
     # Closing clients that are not worth their descriptors
@@ -107,7 +107,7 @@
         has_capacity = self.budget.has_capacity(self.budget.limit // SHORTAGE_DIVISOR)
         descriptors_short = not self.shutdown and not has_capacity
         for client in list(self.clients):
-            client.close_if_overdue(now, descriptors_short)
+            client.close_if_timed_out(now, descriptors_short)
         self._close_excess_clients(now)
         self.loop.call_at(now + SWEEP_INTERVAL_MS, self._sweep)
 
@@ -117,10 +117,10 @@
         Clients may hold only a limited number of connections for requests. Clients that are unlikely to send
         another command are evicted before they leave no capacity for clients that would send one.
         """
-        held = len(self.clients) - self.idle_clients.silent_count
-        excess = self.capacity.excess(held, now)
+        open_count = len(self.clients) - self.idle_clients.silent_count
+        excess = self.capacity.excess(open_count, now)
         if excess and not self.shutdown:  # no new clients connect during a shutdown
-            self.idle_clients.close_unlikely_to_return(excess, now)
+            self.idle_clients.evict_unlikely_to_return(excess, now)
 
     # Accepting
 
@@ -130,22 +130,22 @@
         if self._stopped:
             pass
         elif self.loop.now() - self._accept_failed_at < ACCEPT_RETRY_MS:
-            self._retry_listening()  # clients still wait, so an immediate retry would use a whole core
+            self._schedule_listening_retry()  # clients still wait: an immediate retry would use a core
         elif self._has_client_descriptor or self._may_take_upstream_descriptor or len(self.idle_clients):
             mask = READ
         else:
             # Upstream connections close without notifying the listener, and there may be no client whose
             # close would notify it, so it has to check again by itself.
-            self._retry_listening()
+            self._schedule_listening_retry()
         try:
             self.loop.watch(self._sock, self._mask, mask, self._on_readable)
         except OSError:
             metrics.selector_errors += 1
-            self._retry_listening()
+            self._schedule_listening_retry()
             return
         self._mask = mask
 
-    def _retry_listening(self) -> None:
+    def _schedule_listening_retry(self) -> None:
         self.loop.cancel(self._accept_retry)
         self._accept_retry = self.loop.call_at(self.loop.now() + ACCEPT_RETRY_MS, self.update_listening)
 
@@ -168,13 +168,13 @@
         # been unread for as long as the iteration is late, for example after a slow start, and the next
         # iteration would not know how long that was.
         is_late = self.loop.is_late
-        for accepted in range(LISTEN_BACKLOG if is_late else MAX_ACCEPTS_PER_EVENT):
+        for accepted_count in range(LISTEN_BACKLOG if is_late else MAX_ACCEPTS_PER_EVENT):
             # Only before the first accept is it certain that a client waits, which justifies closing another
             # connection.
-            if not self._has_client_descriptor and (accepted or not self._release_descriptor()):
+            if not self._has_client_descriptor and (accepted_count or not self._release_descriptor()):
                 log_event("accept_paused", reason="no descriptor is free for a client")
                 break
-            if self._accept(read_at_once=is_late) is not AcceptResult.TAKEN:
+            if self._accept(read_at_once=is_late) is not AcceptResult.DEQUEUED:
                 break
         self.update_listening()
 
@@ -189,11 +189,11 @@
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
-            return AcceptResult.NONE_WAITS
+            return AcceptResult.BACKLOG_EMPTY
         except OSError as error:
             metrics.accept_errors += 1
             if is_in(error, FAILED_CONNECTION_ERRORS):
-                return AcceptResult.TAKEN
+                return AcceptResult.DEQUEUED
             log_event("accept_failed", error=error)
             self._accept_failed_at = self.loop.now()
             return AcceptResult.FAILED
@@ -204,7 +204,7 @@
         client.update_idle_state()
         if read_at_once:
             client.conn.read_available()
-        return AcceptResult.TAKEN
+        return AcceptResult.DEQUEUED
 
     # Shutting down
 
@@ -222,7 +222,9 @@
         A client that has sent a part of a command may complete it at any time; the command then counts as
         accepted.
         """
-        self.closing_connections = [one for one in self.closing_connections if one.is_open]
+        self.closing_connections = [
+            connection for connection in self.closing_connections if connection.is_open
+        ]
         return self._stopped and not self.clients and not self.closing_connections
 
     def _stop_listening(self) -> None:
@@ -256,9 +258,9 @@
         for _ in range(LISTEN_BACKLOG):
             if not self.budget.has_capacity() and not self.budget.close_longest_idle():
                 return False
-            accepted = self._accept()
-            if accepted is not AcceptResult.TAKEN:
-                return accepted is AcceptResult.NONE_WAITS
+            result = self._accept()
+            if result is not AcceptResult.DEQUEUED:
+                return result is AcceptResult.BACKLOG_EMPTY
         return True
 
     def _close_idle_clients(self) -> None:
--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -20,8 +20,8 @@
 # The outbox holds the largest reply and its framing, since a reply is appended as a whole.
 MAX_OUTBOX_BYTES = (1 << 20) + 1024
 MAX_READS_PER_EVENT = 4  # from one connection per iteration, so that it does not delay the others
-MAX_READS_IN_LATE_TURN = 64  # the same in a late iteration, when ready bytes may have been unread for long
-TCP_STATES_AFTER_PEERS_END = (7, 8, 9)  # close, close-wait, last-ack: the first byte of TCP_INFO, tcp(7)
+MAX_READS_IN_LATE_ITERATION = 64  # the same if ready bytes may have been unread for long
+TCP_STATES_AFTER_PEER_FIN = (7, 8, 9)  # close, close-wait, last-ack: the first byte of TCP_INFO, tcp(7)
 LINGER_MS = 1000.0  # how long a closing connection lingers while the peer takes no bytes
 MAX_DISCARDED_BYTES = 256 << 10  # maximum number of bytes read from a lingering connection
 WATCH_RETRY_MS = 20.0  # delay before a socket is registered again if the selector had no memory for it
@@ -64,10 +64,10 @@
         self._rank = rank
         self._mask = 0  # the events that the loop watches the socket for
         self._failed = False  # a read has failed, for example because of a reset
-        self._finishing = False  # closing gracefully: further input is discarded
-        self._sending_ended = False
-        self._discarded = 0  # number of bytes discarded since the close started
-        self._linger: Timer | None = None
+        self._lingering = False  # closing gracefully: further input is discarded
+        self._is_sending_shut_down = False
+        self._discarded_bytes = 0  # number of bytes discarded since the close started
+        self._linger_timer: Timer | None = None
         budget.used += 1  # `close` subtracts it again; nothing below raises
         sock.setblocking(False)
         # Without the option the connection works, only slower. One that is already reset fails later.
@@ -116,12 +116,12 @@
 
     def read_available(self) -> None:
         """Read the bytes that have arrived, as before a close: the peer considers them accepted."""
-        if self.is_open and not (self.connecting or self.eof or self._finishing):
+        if self.is_open and not (self.connecting or self.eof or self._lingering):
             self._read()
             self._interest()
 
     @property
-    def has_ended(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the peer is known to have ended its sending, or the connection has failed or is closed."""
         return self.eof or self._failed or not self.is_open
 
@@ -137,7 +137,7 @@
             return is_in(error, RETRIED_TRANSFER_ERRORS)
         return False  # a byte or an end of input is waiting
 
-    def look_for_end(self) -> None:
+    def detect_disconnect(self) -> None:
         """Detect that the peer has ended its sending behind bytes for which the inbox has no space.
 
         The handler is notified as if the connection had failed, since the unread bytes are no longer of use.
@@ -148,7 +148,7 @@
             state = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         except OSError:
             return
-        if state in TCP_STATES_AFTER_PEERS_END:
+        if state in TCP_STATES_AFTER_PEER_FIN:
             self._fail()
 
     def close_gracefully(self) -> None:
@@ -157,21 +157,21 @@
 
         Closing with unread input would send a reset, which can destroy a reply in transit.
         """
-        if self.is_open and not self._finishing:
-            self._finishing = True
-            self._set_linger()
-            self._end_sending()
+        if self.is_open and not self._lingering:
+            self._lingering = True
+            self._start_linger_timer()
+            self._shut_down_sending()
 
-    def _set_linger(self) -> None:
+    def _start_linger_timer(self) -> None:
         sent_before = self.bytes_sent
         close_at = self._loop.now() + LINGER_MS
-        self._linger = self._loop.call_at(close_at, lambda: self._on_lingered(sent_before))
+        self._linger_timer = self._loop.call_at(close_at, lambda: self._on_linger_timeout(sent_before))
 
-    def _on_lingered(self, sent_before: int) -> None:
+    def _on_linger_timeout(self, sent_before: int) -> None:
         """Close, unless the peer is still taking the queued bytes: a slow reader receives its whole reply."""
         if len(self.outbox) and not self.eof:
             if self.bytes_sent > sent_before:
-                self._set_linger()
+                self._start_linger_timer()
                 return
             metrics.connections_cut_off += 1
         self.close()
@@ -180,9 +180,9 @@
         """Close immediately, without a callback."""
         if self.is_open:
             self.is_open = False
-            self._loop.cancel(self._linger)
+            self._loop.cancel(self._linger_timer)
             self._owner = NULL_HANDLER
-            self._linger = None
+            self._linger_timer = None
             self._loop.watch(self._sock, self._mask, 0, self._ready, self._rank)
             self._mask = 0
             self._sock.close()
@@ -200,7 +200,7 @@
         bytes."""
         if not self.is_open:
             return
-        can_read = not self.connecting and not self.eof and (self.inbox.available_space or self._finishing)
+        can_read = not self.connecting and not self.eof and (self.inbox.available_space or self._lingering)
         can_write = self.connecting or len(self.outbox)
         mask = (READ if can_read else 0) | (WRITE if can_write else 0)
         try:
@@ -240,15 +240,15 @@
 
     def _read(self) -> None:
         """Read what has arrived, and notify the handler of it and of the end of input."""
-        if self._finishing:
+        if self._lingering:
             self._discard_input()
         elif self._fill_inbox():
             self._call_owner(self._owner.on_data)
         if self._failed:
             self._fail()
         elif self.eof and self.is_open:
-            if self._finishing:
-                self._end_sending()
+            if self._lingering:
+                self._shut_down_sending()
             else:
                 self._call_owner(lambda: self._owner.on_closed(True))
 
@@ -259,7 +259,7 @@
         known to the code that handles them.
         """
         received = False
-        for _ in range(MAX_READS_IN_LATE_TURN if self._loop.is_late else MAX_READS_PER_EVENT):
+        for _ in range(MAX_READS_IN_LATE_ITERATION if self._loop.is_late else MAX_READS_PER_EVENT):
             space = self.inbox.writable_view()
             if not len(space):
                 break
@@ -282,8 +282,8 @@
             count = self._receive(_discard_buffer)
             if not count:
                 return
-            self._discarded += count
-            if self._discarded > MAX_DISCARDED_BYTES:
+            self._discarded_bytes += count
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self.close()
                 return
 
@@ -313,17 +313,17 @@
             if not is_in(error, RETRIED_TRANSFER_ERRORS):
                 self._loop.call_soon(self._fail)  # not from within the handler's own call
                 return
-        if self._finishing:
-            self._end_sending()
+        if self._lingering:
+            self._shut_down_sending()
 
-    def _end_sending(self) -> None:
+    def _shut_down_sending(self) -> None:
         """Once all bytes are written, shut down sending; close if the peer has ended its sending too."""
         if len(self.outbox) or not self.is_open:
             return
         if self.eof:
             self.close()
-        elif not self._sending_ended:
-            self._sending_ended = True
+        elif not self._is_sending_shut_down:
+            self._is_sending_shut_down = True
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:
--- a/lupinladder/net/http.py
+++ b/lupinladder/net/http.py
@@ -86,8 +86,8 @@
             # The parser would keep every byte of a header line that never ends.
             in_headers = not self.is_idle and not self.current.status
             # It is unknown which of these bytes belong to a response that follows one they complete.
-            counts = in_headers and not self._completed
-            self._header_bytes = self._header_bytes + len(data) if counts else 0
+            is_counted = in_headers and not self._completed
+            self._header_bytes = self._header_bytes + len(data) if is_counted else 0
             if self._header_bytes > MAX_HEADER_BYTES:
                 self._error_reason = "headers are too long"
         except httptools.HttpParserCallbackError as error:
--- a/lupinladder/net/idle_client_tracker.py
+++ b/lupinladder/net/idle_client_tracker.py
@@ -41,11 +41,13 @@
         self._with_commands.pop(client, None)
         self._silent.pop(client, None)
 
-    def close_unlikely_to_return(self, max_count: int, now: float) -> None:
+    def evict_unlikely_to_return(self, max_count: int, now: float) -> None:
         """Evict at most `max_count` clients that are unlikely to send another command soon."""
         clients = list(self._with_commands)
-        idle_times = [IdleClient(one.activity.command_count, one.activity.idle_time(now)) for one in clients]
-        for index in select_for_eviction(idle_times, self._return_estimator, max_count):
+        idle_clients = [
+            IdleClient(client.activity.command_count, client.activity.idle_time(now)) for client in clients
+        ]
+        for index in select_for_eviction(idle_clients, self._return_estimator, max_count):
             metrics.client_connections_evicted += clients[index].close_if_idle(CloseReason.CLIENT_EVICTED)
 
     def evict_one(self, now: float) -> bool:
@@ -58,7 +60,9 @@
             *islice(self._silent, EVICTION_CANDIDATES),
             *islice(self._with_commands, EVICTION_CANDIDATES),
         ]
-        candidates.sort(key=lambda client: (_was_used_recently(client, now), client.activity.last_used))
+        candidates.sort(
+            key=lambda client: (_was_active_recently(client, now), client.activity.last_active_at)
+        )
         for client in candidates:
             if client.close_if_idle(CloseReason.CLIENT_EVICTED):
                 client.conn.close()  # frees its descriptor now; all replies to it have been written
@@ -66,6 +70,6 @@
         return False
 
 
-def _was_used_recently(client: ClientConnection, now: float) -> bool:
-    max_age = IDLE_TIMEOUT_MS if client.activity.command_count else SILENT_EVICTION_AGE_MS
-    return client.activity.idle_time(now) < max_age
+def _was_active_recently(client: ClientConnection, now: float) -> bool:
+    max_idle_time = IDLE_TIMEOUT_MS if client.activity.command_count else SILENT_EVICTION_AGE_MS
+    return client.activity.idle_time(now) < max_idle_time
--- a/lupinladder/net/pending_reply.py
+++ b/lupinladder/net/pending_reply.py
@@ -26,9 +26,11 @@
         """Reply with the value."""
         self._set(resp.encode_bulk(value))
 
-    def on_rejected(self, wait: float) -> None:
-        """Reply that the client may retry after `wait` ms."""
-        self._set(resp.encode_error(f"BUSY {wait:.0f}" if wait >= MIN_RETRY_AFTER_MS else "BUSY"))
+    def on_rejected(self, retry_after: float) -> None:
+        """Reply that the client may retry after `retry_after` ms."""
+        self._set(
+            resp.encode_error(f"BUSY {retry_after:.0f}" if retry_after >= MIN_RETRY_AFTER_MS else "BUSY")
+        )
 
     def on_failed(self) -> None:
         """Reply that the request has failed."""
--- a/lupinladder/net/resp.py
+++ b/lupinladder/net/resp.py
@@ -15,7 +15,7 @@
 CRLF = b"\r\n"
 
 
-class FramingFault(StrEnum):
+class FramingErrorReason(StrEnum):
     """Why bytes are not valid RESP. The values are sent to the client."""
 
     NOT_A_NUMBER = "not a number"
@@ -71,7 +71,7 @@
     """
     digits = text[1:] if text[:1] == b"-" else text
     if not digits.isdigit() or len(digits) > MAX_INTEGER_DIGITS:
-        raise FramingError(FramingFault.NOT_A_NUMBER)
+        raise FramingError(FramingErrorReason.NOT_A_NUMBER)
     return int(text)
 
 
@@ -105,7 +105,7 @@
         if len(self._bulk) < self._bulk_bytes:
             return INCOMPLETE
         if self._bulk[-2:] != CRLF:
-            raise FramingError(FramingFault.BULK_NOT_TERMINATED)
+            raise FramingError(FramingErrorReason.BULK_NOT_TERMINATED)
         value = bytes(self._bulk[:-2])
         self._bulk = bytearray()
         self._bulk_bytes = 0
@@ -122,18 +122,18 @@
         type_byte = line[:1]
         text = line[1:]
         if type_byte == b"$":
-            return self._begin_bulk(parse_integer(text))
+            return self._start_bulk(parse_integer(text))
         if type_byte == b"*":
-            return self._begin_array(parse_integer(text))
+            return self._start_array(parse_integer(text))
         if type_byte == b"+":
             return SimpleString(text)
         if type_byte == b"-":
             return ErrorReply(text)
         if type_byte == b":":
             return parse_integer(text)
-        raise FramingError(FramingFault.UNKNOWN_TYPE)
+        raise FramingError(FramingErrorReason.UNKNOWN_TYPE)
 
-    def _begin_bulk(self, length: int) -> Value | Incomplete:
+    def _start_bulk(self, length: int) -> Value | Incomplete:
         if length == -1:  # the null bulk string
             return None
         if not 0 <= length <= self._max_bulk_bytes:
@@ -141,7 +141,7 @@
         self._bulk_bytes = length + len(CRLF)
         return _CONTENT_FOLLOWS
 
-    def _begin_array(self, length: int) -> Value | Incomplete:
+    def _start_array(self, length: int) -> Value | Incomplete:
         if length == -1:  # the null array
             return None
         if not 0 <= length <= self._max_array_length:
@@ -149,7 +149,7 @@
         if not length:
             return []
         if len(self._open_arrays) >= MAX_NESTED_ARRAYS:
-            raise FramingError(FramingFault.NESTED_TOO_DEEP)
+            raise FramingError(FramingErrorReason.NESTED_TOO_DEEP)
         self._open_arrays.append(_OpenArray(length))
         return _CONTENT_FOLLOWS
 
--- a/lupinladder/net/ring_buffer.py
+++ b/lupinladder/net/ring_buffer.py
@@ -1,4 +1,4 @@
-"""A ring buffer of bytes that starts small, grows by doubling up to a bound and shrinks when it is empty."""
+"""A ring buffer of bytes that starts small, grows by doubling up to a maximum size and shrinks when empty."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 class RingBuffer:
     """A first-in, first-out buffer of bytes."""
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound  # maximum number of stored bytes
-        self._buffer = bytearray(min(INITIAL_CAPACITY, bound))
+    def __init__(self, max_size: int) -> None:
+        self.max_size = max_size  # maximum number of stored bytes
+        self._buffer = bytearray(min(INITIAL_CAPACITY, max_size))
         self._head = 0  # index of the oldest byte
         self._size = 0
 
@@ -31,13 +31,13 @@
     @property
     def available_space(self) -> int:
         """How many bytes may be appended."""
-        return self.bound - self._size
+        return self.max_size - self._size
 
     def _grow(self, min_capacity: int) -> None:
         capacity = len(self._buffer)
         while capacity < min_capacity:
             capacity *= 2
-        larger = bytearray(min(capacity, self.bound))
+        larger = bytearray(min(capacity, self.max_size))
         larger[: self._size] = self.peek(self._size)
         self._buffer = larger  # views of the old buffer stay valid
         self._head = 0
@@ -47,7 +47,7 @@
 
         Call `commit` after writing to it.
         """
-        if self._size == len(self._buffer) < self.bound:
+        if self._size == len(self._buffer) < self.max_size:
             self._grow(self._size + 1)
         capacity = len(self._buffer)
         if self._size == capacity:
@@ -105,16 +105,16 @@
 
         Raises LineError if the line is longer than `limit` bytes, without CR LF, or ends in LF alone.
         """
-        longest = limit + len(LINE_END)
-        held = self.peek(longest)
-        end = held.find(b"\n")
+        max_length = limit + len(LINE_END)
+        data = self.peek(max_length)
+        end = data.find(b"\n")
         if end < 0:
-            if len(held) >= longest:
+            if len(data) >= max_length:
                 message = "line too long"
                 raise LineError(message)
             return None
-        if held[end - 1 : end] != b"\r":
+        if data[end - 1 : end] != b"\r":
             message = "line does not end in CR LF"
             raise LineError(message)
         self.discard(end + 1)
-        return held[: end - 1]
+        return data[: end - 1]
--- a/tests/connection_limits/test_connection_capacity.py
+++ b/tests/connection_limits/test_connection_capacity.py
@@ -8,7 +8,7 @@
 
 
 class Excess(TestCase):
-    def test_room_is_kept_for_arrivals_and_no_connection_is_closed_without_need(self) -> None:
+    def test_capacity_is_kept_for_arrivals_and_no_connection_is_closed_needlessly(self) -> None:
         capacity = ConnectionCapacity(80, 0)
         self.assertEqual(capacity.excess(40, 100), 0)
         # At the limit it is unknown how many clients want to connect, so a quarter should be free.
--- a/tests/connection_limits/test_eviction.py
+++ b/tests/connection_limits/test_eviction.py
@@ -18,7 +18,7 @@
 
 class SelectForEviction(TestCase):
     @given(IDLE_CLIENTS, st.integers(-3, 80), st.integers(0, 300))
-    def test_no_more_are_selected_than_needed_and_none_that_is_likely_to_return(
+    def test_no_more_clients_than_needed_and_none_likely_to_return_are_selected(
         self, clients: list[IdleClient], max_count: int, idle_periods: int
     ) -> None:
         estimator = estimator_after(1, idle_periods, 0.1, 60)
@@ -27,17 +27,19 @@
         self.assertEqual(len(set(selected)), len(selected))
         for index in selected:
             self.assertLess(estimator.return_probability(*clients[index]), MIN_RETURN_PROBABILITY)
-        highest = max((estimator.return_probability(*clients[index]) for index in selected), default=0.0)
+        highest_selected = max(
+            (estimator.return_probability(*clients[index]) for index in selected), default=0.0
+        )
         if len(selected) == max_count:
             others = [
                 estimator.return_probability(*client)
                 for index, client in enumerate(clients)
                 if index not in selected
             ]
-            self.assertTrue(all(other >= highest for other in others))
+            self.assertTrue(all(other >= highest_selected for other in others))
 
-    def test_the_one_idle_for_longest_is_selected_first_among_equals(self) -> None:
+    def test_the_longest_idle_client_is_selected_first_among_equals(self) -> None:
         estimator = estimator_after(1, 200, 0.0, 0)
         last_edge = IDLE_SPAN_EDGES_MS[-1]
-        clients = [IdleClient(1, last_edge + more) for more in (5, 90, 50)]
+        clients = [IdleClient(1, last_edge + extra) for extra in (5, 90, 50)]
         self.assertEqual(select_for_eviction(clients, estimator, 2), [1, 2])
--- a/tests/connection_limits/test_idle_return_estimator.py
+++ b/tests/connection_limits/test_idle_return_estimator.py
@@ -28,7 +28,7 @@
         self.assertAlmostEqual(estimator.return_probability(1, 0), 0.5, delta=0.06)
         self.assertLess(estimator.return_probability(1, 300), 0.2)
 
-    def test_closing_connections_early_is_no_evidence_that_nobody_returns(self) -> None:
+    def test_connections_closed_early_are_not_evidence_that_clients_do_not_return(self) -> None:
         estimator = estimator_after(1, 100, 0.8, 300)
         before = estimator.return_probability(1, 250)
         for _ in range(500):
@@ -43,7 +43,7 @@
         self.assertGreater(estimator.return_probability(1, 10), 0.8)
 
     @given(IDLE_CLIENTS, st.integers(1, 9), st.floats(0, 1e5))
-    def test_the_estimate_is_a_probability_whatever_was_seen(
+    def test_the_estimate_is_a_probability_for_any_observations(
         self, clients: list[IdleClient], command_count: int, idle_time: float
     ) -> None:
         estimator = IdleReturnEstimator()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -19,7 +19,7 @@
 
 
 class Forwarding(NetworkScene):
-    def test_a_hit_is_forwarded_with_nothing_changed_but_the_deadline(self) -> None:
+    def test_a_command_is_forwarded_with_only_the_deadline_changed(self) -> None:
         client = self.client(get())
         node = self.at_node()
         head, deadline = node.got.rsplit(b"d=", 1)
@@ -29,7 +29,7 @@
         self.answers(client, b"$1\r\nV\r\n")
         self.assertEqual(self.script.ends(), [(0, "OK", True)])
 
-    def test_a_miss_goes_on_to_the_origin(self) -> None:
+    def test_a_miss_is_sent_to_the_origin(self) -> None:
         self.script.react = once_to(then=StartAttempt(1, ORIGIN))
         client = self.client(get())
         self.at_node().conn.send(MISSED)
@@ -51,11 +51,11 @@
         self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
         self.answers(client, b"$400000\r\n%b\r\n" % value)
 
-    def test_a_rejection_says_when_to_retry(self) -> None:
+    def test_a_rejection_contains_the_time_after_which_to_retry(self) -> None:
         self.script.react = lambda event: [Reject(event.request_id, 75.0)]
         self.answers(self.client(get()), b"-BUSY 75\r\n")
 
-    def test_a_command_that_lay_unread_for_a_long_round_of_the_loop_has_that_much_less_time(self) -> None:
+    def test_time_unread_during_a_long_loop_iteration_is_subtracted_from_the_timeout(self) -> None:
         client = self.client(PING)
         self.answers(client, b"+PONG\r\n")
         for request_id, latency, timeout in ((b"a", 0.4, 900), (b"b", 300.0, 600), (b"c", 5000.0, 1)):
@@ -70,7 +70,7 @@
 
 
 class Pipelining(NetworkScene):
-    def test_pipelined_commands_are_answered_in_order_and_invalid_ones_do_no_harm(self) -> None:
+    def test_pipelined_commands_are_answered_in_order_even_if_some_are_invalid(self) -> None:
         invalid = b"*1\r\n$7\r\nOBJ.GET\r\n"
         client = self.client(get() + PING + invalid + get(b"b"))
         first = self.at_node(0)
@@ -82,13 +82,15 @@
         value = b"$1\r\nV\r\n"
         self.answers(client, value + b"+PONG\r\n-ERR wrong number of arguments\r\n" + value)
 
-    def test_more_commands_than_a_pipeline_holds_or_a_stack_could_nest_are_answered(self) -> None:
+    def test_more_commands_than_the_pipeline_depth_and_the_recursion_limit_are_answered(self) -> None:
         client = self.client(PING * 9000)
         self.answers(client, b"+PONG\r\n" * 9000)
 
-    def test_a_command_that_waits_behind_a_full_pipeline_has_that_much_less_time(self) -> None:
+    def test_time_unread_behind_a_full_pipeline_is_subtracted_from_the_timeout(self) -> None:
         self.script.react = lambda event: []
-        self.client(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 1]))
+        self.client(
+            b"".join(get(b"%c" % letter) for letter in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 1])
+        )
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         full_until = self.loop.now() + 200
         self.loop.call_at(full_until, lambda: None)
@@ -100,7 +102,7 @@
         assert isinstance(last, RequestReceived)
         self.assertTrue(600 <= last.timeout <= 700, last.timeout)
 
-    def test_a_slow_reader_is_not_read_from_and_loses_nothing(self) -> None:
+    def test_a_slow_reader_is_not_read_from_and_receives_every_reply(self) -> None:
         value = b"$65536\r\n" + b"x" * 65536 + b"\r\n"
         self.script.react = lambda event: []
         client = self.client()
@@ -114,7 +116,7 @@
             request.handler.on_served(b"x" * 65536)
         [accepted] = [one.conn for one in self.front.clients]
         self.until(lambda: accepted.bytes_sent > 0, "some bytes")
-        self.assertLessEqual(len(accepted.outbox), accepted.outbox.bound)
+        self.assertLessEqual(len(accepted.outbox), accepted.outbox.max_size)
         client.conn._sock.setblocking(False)
         client.conn._interest()
         self.until(lambda: len(client.got) >= 32 * len(value), "all answers")
@@ -122,14 +124,14 @@
 
 
 class FramingErrors(NetworkScene):
-    def test_a_framing_error_is_told_after_the_pending_replies_and_closes(self) -> None:
+    def test_a_framing_error_is_sent_after_the_pending_replies_and_closes_the_connection(self) -> None:
         client = self.client(get() + b"GET / HTTP/1.1\r\n\r\n")
         self.at_node().conn.send(SERVED)
         self.until(lambda: client.ends, "a close")
         self.assertEqual(client.got, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
         self.assertEqual(client.ends, [True])  # closed in order, not reset
 
-    def test_a_client_that_sends_on_after_its_error_is_cut_off(self) -> None:
+    def test_a_client_that_keeps_sending_after_a_framing_error_is_closed(self) -> None:
         client = self.client()
         self.until(lambda: self.front.clients, "a client")
         [accepted] = self.front.clients
@@ -142,7 +144,7 @@
         with mock.patch.object(connection, "LINGER_MS", 60_000.0):
             client.conn.send(b"*1\r\n$60000000\r\n")
             self.until(flood, "a close")
-        self.assertGreater(accepted.conn._discarded, 256 << 10)
+        self.assertGreater(accepted.conn._discarded_bytes, 256 << 10)
         self.assertLess(len(accepted.conn.inbox), 1 << 17)
 
 
@@ -150,22 +152,22 @@
     def disconnected(self) -> set[int]:
         return {event.request_id for event in self.script.events if isinstance(event, ClientDisconnected)}
 
-    def test_a_client_that_ends_its_bytes_or_resets_is_disconnected(self) -> None:
+    def test_a_client_that_ends_its_sending_or_resets_has_disconnected(self) -> None:
         client = self.client(get())
-        broken = self.client(get(b"b"))
+        resetting = self.client(get(b"b"))
         node = self.at_node(0)
         self.at_node(1)
         client.conn.send(get(b"c")[:9])
         client.conn._sock.shutdown(socket.SHUT_WR)
-        broken.reset()
+        resetting.reset()
         self.until(lambda: self.disconnected() == {1, 2}, "their disconnects")
         node.conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
         self.assertEqual((client.got, client.ends), (b"", [True]))
         self.assertTrue(self.engine.is_idle)
-        self.assertFalse(self.front.open_ids or self.front.clients)
+        self.assertFalse(self.front.open_request_ids or self.front.clients)
 
-    def test_replies_that_are_encoded_already_are_written_after_the_client_ended_its_bytes(self) -> None:
+    def test_replies_already_encoded_are_written_after_the_client_ended_its_sending(self) -> None:
         self.script.react = lambda event: []
         client = self.client(get() + PING + b"*1\r\n$3\r\nBAD\r\n" + get(b"b") + PING)
         self.until(lambda: len(self.script.events) == 2, "both commands")
@@ -178,10 +180,10 @@
         # The client would take a reply behind the dropped one for the dropped one.
         self.assertEqual((client.got, client.ends), (b"-BUSY\r\n+PONG\r\n-ERR unknown command\r\n", [True]))
 
-    def test_commands_still_unread_when_the_client_ends_are_dropped(self) -> None:
+    def test_unread_commands_are_dropped_when_the_client_disconnects(self) -> None:
         self.script.react = lambda event: []
         client = self.client(
-            b"".join(get(bytes([one])) for one in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 8])
+            b"".join(get(bytes([letter])) for letter in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 8])
         )
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         client.conn._sock.shutdown(socket.SHUT_WR)
@@ -191,10 +193,10 @@
         self.assertTrue(self.engine.is_idle)
 
 
-class UnseenDisconnects(NetworkScene):
+class UndetectedDisconnects(NetworkScene):
     """A client may disconnect long before the loop detects it; nothing must be sent for it after that."""
 
-    def test_a_request_that_lay_unread_beside_the_end_of_its_client_is_not_sent(self) -> None:
+    def test_a_request_read_together_with_the_disconnect_of_its_client_is_not_processed(self) -> None:
         client = self.client()
         self.until(lambda: self.front.clients, "the client")
         client.conn._sock.send(get())
@@ -203,13 +205,13 @@
         self.until(lambda: not self.front.clients, "the disconnect")
         self.assertFalse([e for e in self.script.events if isinstance(e, RequestReceived)])
 
-    def test_a_failed_attempt_is_not_repeated_if_the_end_of_its_client_lies_unread(self) -> None:
-        repeats = [StartAttempt(1, NODE)]
+    def test_a_failed_attempt_is_not_retried_if_the_disconnect_of_its_client_is_unread(self) -> None:
+        retries = [StartAttempt(1, NODE)]
         self.script.react = lambda e: (
             [StartAttempt(e.request_id, NODE)]
             if isinstance(e, RequestReceived)
-            else [repeats.pop()]
-            if isinstance(e, AttemptEnded) and repeats
+            else [retries.pop()]
+            if isinstance(e, AttemptEnded) and retries
             else []
         )
         client = self.client(get())
@@ -219,7 +221,7 @@
         self.until(lambda: len(self.script.ends()) == 2, "the ends of both attempts")
         self.assertEqual(self.script.ends()[1][1], "NOT_STARTED")
 
-    def test_a_client_that_leaves_behind_more_than_is_read_of_it_is_seen_to_leave(self) -> None:
+    def test_a_disconnect_behind_more_bytes_than_are_read_is_detected(self) -> None:
         self.script.react = lambda event: []
         client = self.client(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:32]))
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
@@ -229,14 +231,14 @@
             self.loop.run_once()
         client.conn._sock.send(b"x" * 4096)
         client.conn.close()
-        left_at = self.loop.now()
+        disconnected_at = self.loop.now()
         self.until(lambda: not self.front.clients, "the disconnect")
-        self.assertLess(self.loop.now() - left_at, 400)  # earlier than the requests' deadlines
+        self.assertLess(self.loop.now() - disconnected_at, 400)  # earlier than the requests' deadlines
         self.assertTrue(self.engine.is_idle)
 
 
 class RequestIds(NetworkScene):
-    def test_the_id_of_an_open_request_is_an_error_until_that_one_is_answered_or_disconnected(self) -> None:
+    def test_the_id_of_an_open_request_is_an_error_until_it_is_answered_or_disconnected(self) -> None:
         first = self.client(get())
         disconnecting = self.client(get(b"b"))
         node = self.at_node(0)
@@ -251,7 +253,7 @@
         second.conn.send(get() + get(b"b"))
         self.until(lambda: sum(isinstance(e, RequestReceived) for e in self.script.events) == 4, "both")
 
-    def test_an_id_is_let_go_once_and_not_again_when_its_former_connection_ends(self) -> None:
+    def test_an_id_is_released_once_and_not_again_when_its_first_client_disconnects(self) -> None:
         self.script.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
         first = self.client(get() + get(b"b"))
         self.until(lambda: len(self.script.events) == 2, "both requests")
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -42,22 +42,22 @@
     def until_closed(self, peer: RecordingPeer) -> None:
         self.until(lambda: peer.ends, "a close")
 
-    def test_clients_that_send_nothing_or_half_a_command_are_closed_and_others_stay(self) -> None:
+    def test_clients_that_send_nothing_or_a_partial_command_are_closed_and_others_stay(self) -> None:
         short_timeouts = [
             mock.patch.object(client_connection, name, 60.0)
             for name in ("FIRST_COMMAND_TIMEOUT_MS", "COMMAND_TIMEOUT_MS")
         ]
-        for one in short_timeouts:
-            one.start()
-            self.addCleanup(one.stop)
+        for patcher in short_timeouts:
+            patcher.start()
+            self.addCleanup(patcher.stop)
         idle = self.client(PING)
         waiting = self.client(get())
         silent = self.client()
-        half = self.client(get()[:9])
-        later = self.client(PING)
-        self.answers(later, b"+PONG\r\n")
-        later.conn.send(get(b"b")[:-3])
-        for peer, got in ((silent, b""), (half, b"-ERR"), (later, b"+PONG\r\n-ERR")):
+        partial = self.client(get()[:9])
+        second_partial = self.client(PING)
+        self.answers(second_partial, b"+PONG\r\n")
+        second_partial.conn.send(get(b"b")[:-3])
+        for peer, got in ((silent, b""), (partial, b"-ERR"), (second_partial, b"+PONG\r\n-ERR")):
             self.until_closed(peer)
             self.assertTrue(peer.got.startswith(got) and bool(peer.got) == bool(got))
         self.assertEqual((idle.got, idle.ends, waiting.ends), (b"+PONG\r\n", [], []))
@@ -68,7 +68,7 @@
 class WaitingToBeAccepted(NetworkScene):
     STALL_MS = 400.0
 
-    def test_what_lay_unread_before_its_connection_was_accepted_is_taken_off_its_time(self) -> None:
+    def test_time_unread_before_the_accept_is_subtracted_from_the_timeout(self) -> None:
         """This happens at a slow start: the socket listens, but no connection is accepted yet."""
         self.script.react = lambda event: []
         count = MAX_ACCEPTS_PER_EVENT + 3
@@ -80,8 +80,8 @@
         self.loop._selected_at = self.loop.now()
         self.stand_still(self.STALL_MS)
         self.until(lambda: len(self.script.events) >= len(clients), "the requests")
-        asked = [event.timeout for event in self.script.events if isinstance(event, RequestReceived)]
-        self.assertLessEqual(max(asked), 900 - self.STALL_MS)
+        timeouts = [event.timeout for event in self.script.events if isinstance(event, RequestReceived)]
+        self.assertLessEqual(max(timeouts), 900 - self.STALL_MS)
 
 
 class Shutdown(NetworkScene):
@@ -103,7 +103,7 @@
         client.conn.close()
         self.until(lambda: self.front.is_finished, "the end of the shutdown")
 
-    def test_a_command_far_behind_others_is_read_before_its_idle_connection_is_closed(self) -> None:
+    def test_a_command_behind_many_others_is_read_before_its_idle_connection_is_closed(self) -> None:
         echo = b"*2\r\n$4\r\nPING\r\n$11\r\n" + b"x" * 11 + b"\r\n"  # 32 bytes: reads end between commands
         client = self.client(PING)
         self.answers(client, b"+PONG\r\n")
@@ -113,7 +113,7 @@
         self.until(lambda: client.ends, "the close")
         self.assertTrue(client.got.endswith(b"$1\r\nV\r\n"))
 
-    def test_the_only_proxy_serves_on_after_its_signal_and_finally_says_when_to_retry(self) -> None:
+    def test_the_only_proxy_keeps_serving_after_its_signal_and_finally_sends_a_retry_time(self) -> None:
         client = self.client(PING)
         self.answers(client, b"+PONG\r\n")
         self.front.shut_down()
@@ -137,7 +137,7 @@
         client.conn.close()
         self.until(lambda: self.front.is_finished, "the end of the shutdown")
 
-    def test_one_of_several_rejects_on_a_busy_connection_what_the_kill_would_find_unanswered(
+    def test_one_of_several_proxies_rejects_a_request_that_the_kill_would_leave_unanswered(
         self,
     ) -> None:
         self.script.react = lambda event: []
@@ -148,7 +148,8 @@
         self.front.shutdown = ShutdownSchedule(settings, self.loop.now() - 1700)
         client.conn.send(get(b"b"))
         self.until(
-            lambda: any(len(one._pending_replies) == 2 for one in self.front.clients), "the second command"
+            lambda: any(len(accepted._pending_replies) == 2 for accepted in self.front.clients),
+            "the second command",
         )
         self.script.react = lambda event: [Reject(1)]
         self.engine.notify(TimerFired(1))
@@ -156,7 +157,7 @@
         self.assertEqual(client.got, b"-BUSY\r\n-BUSY\r\n")
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
 
-    def test_what_is_still_open_shortly_before_the_kill_is_answered_though_its_client_waits_longer(
+    def test_a_request_open_shortly_before_the_kill_is_answered_before_its_deadline(
         self,
     ) -> None:
         self.script.react = once_to()
@@ -170,11 +171,11 @@
         self.assertEqual(client.got, b"-ERR failed\r\n")
         self.assertLess(self.loop.now(), nearly_over.killed_at)
 
-    def test_clients_that_wait_to_be_accepted_when_the_listener_closes_are_answered(self) -> None:
+    def test_clients_in_the_backlog_are_answered_when_the_listener_closes(self) -> None:
         waiting = [socket.create_connection(self.address) for _ in range(MAX_ACCEPTS_PER_EVENT + 5)]
-        for one in waiting:
-            self.addCleanup(one.close)
-            one.sendall(PING)
+        for sock in waiting:
+            self.addCleanup(sock.close)
+            sock.sendall(PING)
         self.front.shut_down()
         limit = self.budget.limit
         self.budget.limit = self.budget.used + MAX_ACCEPTS_PER_EVENT + 3
@@ -185,9 +186,9 @@
         self.until(lambda: self.front._stopped, "the close of the listener")
         self.front._close_idle_clients()
         self.until(lambda: not self.front.clients, "the close of all clients")
-        self.assertEqual([one.recv(99) for one in waiting], [b"+PONG\r\n"] * len(waiting))
+        self.assertEqual([sock.recv(99) for sock in waiting], [b"+PONG\r\n"] * len(waiting))
 
-    def test_clients_that_wait_are_answered_though_accept_fails_for_a_moment(self) -> None:
+    def test_clients_in_the_backlog_are_answered_despite_transient_accept_errors(self) -> None:
         failures = [OSError(number, "transient") for number in TRANSIENT_ACCEPT_ERRORS]
         self.front._sock = FailingAccept(self.front._sock, failures)  # type: ignore[assignment]
         waiting = socket.create_connection(self.address)
@@ -203,23 +204,25 @@
         self.assertEqual(waiting.recv(99), b"+PONG\r\n")
 
     def test_a_client_in_the_middle_of_a_command_gets_its_reply_or_an_error(self) -> None:
-        halves = [self.client(get(ident)[:30]) for ident in (b"a", b"b")]
-        self.until(lambda: [one._command_incomplete for one in self.front.clients] == [True, True])
+        partial_clients = [self.client(get(request_id)[:30]) for request_id in (b"a", b"b")]
+        self.until(
+            lambda: [connection._command_incomplete for connection in self.front.clients] == [True, True]
+        )
         self.shut_down_at_once()
         self.assertFalse(self.front.is_finished)
-        halves[0].conn.send(get()[30:])
+        partial_clients[0].conn.send(get()[30:])
         self.at_node().conn.send(SERVED)
-        self.until(lambda: halves[0].ends, "its answer")
-        halves[0].conn.close()
+        self.until(lambda: partial_clients[0].ends, "its answer")
+        partial_clients[0].conn.close()
         assert self.front.shutdown
         self.front.shutdown.answer_by = self.loop.now()
-        self.until(lambda: halves[1].ends, "its error")
-        halves[1].conn.close()
+        self.until(lambda: partial_clients[1].ends, "its error")
+        partial_clients[1].conn.close()
         self.until(lambda: self.front.is_finished, "the end of the shutdown")
         replies = [b"$1\r\nV\r\n", b"-ERR Protocol error: command not ended in time\r\n"]
-        self.assertEqual([one.got for one in halves], replies)
+        self.assertEqual([connection.got for connection in partial_clients], replies)
 
-    def test_a_client_whose_reply_is_not_all_taken_yet_is_not_idle(self) -> None:
+    def test_a_client_whose_reply_is_not_completely_sent_is_not_idle(self) -> None:
         client = self.client(get())
         node = self.at_node()
         with mock.patch.object(Connection, "_flush"):  # the system takes no bytes
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -15,51 +15,55 @@
 from lupinladder.net.metrics import metrics
 from tests.support.network_scene import SERVED, NetworkScene, RecordingPeer, get
 
-TRANSIENT = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
+TRANSIENT_ERRORS = (errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 
 
 class SlowReaders(NetworkScene):
     LINGER_MS = 80.0
 
-    def test_a_peer_that_still_takes_bytes_gets_all_and_one_that_takes_none_is_cut_off(self) -> None:
+    def test_a_peer_that_keeps_reading_receives_all_and_one_that_does_not_is_closed(self) -> None:
         for reads in (True, False):
             with mock.patch.object(connection, "LINGER_MS", self.LINGER_MS):
                 self.check(reads)
 
     def check(self, reads: bool) -> None:
-        near, far = socket.socketpair()
-        self.addCleanup(far.close)
-        near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        cut_off = metrics.connections_cut_off
+        local_socket, peer_socket = socket.socketpair()
+        self.addCleanup(peer_socket.close)
+        local_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        cut_off_before = metrics.connections_cut_off
         # TCP_NODELAY does not exist for a socket pair; setting it may fail.
-        ending = Connection(self.loop, DescriptorBudget(9), near, NULL_HANDLER)
-        ending.send(b"x" * 200_000)
-        ending.close_gracefully()
+        closing = Connection(self.loop, DescriptorBudget(9), local_socket, NULL_HANDLER)
+        closing.send(b"x" * 200_000)
+        closing.close_gracefully()
         received = 0
-        while ending.is_open:
+        while closing.is_open:
             read_at = self.loop.now() + self.LINGER_MS / 2
             self.loop.call_at(read_at, lambda: None)
             self.until(lambda: self.loop.now() >= read_at, "the time of the next read")  # noqa: B023
             if reads:
-                received += len(far.recv(30_000, socket.MSG_DONTWAIT))
-        while reads and (rest := len(far.recv(1 << 20))):
-            received += rest
-        self.assertEqual((received, metrics.connections_cut_off - cut_off), (200_000, 0) if reads else (0, 1))
+                received += len(peer_socket.recv(30_000, socket.MSG_DONTWAIT))
+        while reads and (count := len(peer_socket.recv(1 << 20))):
+            received += count
+        self.assertEqual(
+            (received, metrics.connections_cut_off - cut_off_before), (200_000, 0) if reads else (0, 1)
+        )
 
 
 class FailingCalls(NetworkScene):
-    def fail_first(self, name: str, of: set[int], numbers: tuple[int, ...] = TRANSIENT) -> list[OSError]:
+    def fail_first(
+        self, name: str, affected: set[int], numbers: tuple[int, ...] = TRANSIENT_ERRORS
+    ) -> list[OSError]:
         """Make the next calls of this socket method fail for sockets with these descriptors.
 
         Returns the errors that are still to be raised.
         """
         failures = [OSError(number, "transient") for number in numbers]
-        real: Callable[..., Any] = getattr(socket.socket, name)
+        original: Callable[..., Any] = getattr(socket.socket, name)
 
         def call(sock: socket.socket, *args: Any) -> Any:
-            if failures and sock.fileno() in of:
+            if failures and sock.fileno() in affected:
                 raise failures.pop()
-            return real(sock, *args)
+            return original(sock, *args)
 
         patched = mock.patch.object(socket.socket, name, call)
         patched.start()
@@ -69,26 +73,26 @@
     def accepted(self, client: RecordingPeer) -> set[int]:
         """Return the descriptors of the proxy's sockets to the clients."""
         self.until(lambda: client.conn.is_open and self.front.clients, "the client")
-        return {one.conn._sock.fileno() for one in self.front.clients}
+        return {accepted_client.conn._sock.fileno() for accepted_client in self.front.clients}
 
-    def test_a_request_is_read_and_answered_though_reads_and_writes_fail_for_a_moment(self) -> None:
+    def test_a_request_is_read_and_answered_despite_transient_read_and_write_errors(self) -> None:
         client = self.client()
         descriptors = self.accepted(client)
-        unread = self.fail_first("recv_into", descriptors)
+        read_errors = self.fail_first("recv_into", descriptors)
         client.conn.send(get())
         node = self.at_node()
-        unsent = self.fail_first("send", descriptors)
+        send_errors = self.fail_first("send", descriptors)
         node.conn.send(SERVED)
         self.answers(client, b"$1\r\nV\r\n")
-        self.assertEqual((unread, unsent), ([], []))
+        self.assertEqual((read_errors, send_errors), ([], []))
 
-    def test_a_client_is_served_though_its_connection_could_not_be_set_up_at_once(self) -> None:
+    def test_a_client_is_served_though_registering_its_socket_fails_at_first(self) -> None:
         register = self.loop._selector.register
         failures = [OSError(number, "transient") for number in (errno.ENOMEM, errno.ENOSPC)]
 
         def register_after_failures(*args: Any) -> Any:
-            is_clients = not self.node.peers and args[0] is not client.conn._sock
-            if failures and is_clients:
+            is_accepted_socket = not self.node.peers and args[0] is not client.conn._sock
+            if failures and is_accepted_socket:
                 raise failures.pop()
             return register(*args)
 
@@ -99,20 +103,20 @@
         self.answers(client, b"$1\r\nV\r\n")
         self.assertEqual(failures, [])
 
-    def test_a_connect_that_a_signal_interrupts_goes_on(self) -> None:
-        really_connect = socket.socket.connect_ex
+    def test_a_connect_interrupted_by_a_signal_continues(self) -> None:
+        original_connect = socket.socket.connect_ex
 
         def interrupted(sock: socket.socket, address: Any) -> int:
-            really_connect(sock, address)  # as on Linux: the connection is established nevertheless
+            original_connect(sock, address)  # as on Linux: the connection is established nevertheless
             return errno.EINTR
 
         with mock.patch.object(socket.socket, "connect_ex", interrupted):
-            asked = self.ask()
+            handler = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: asked.told, "an answer")
-        self.assertEqual(asked.told, [b"V"])
+        self.until(lambda: handler.told, "an answer")
+        self.assertEqual(handler.told, [b"V"])
 
-    def test_the_listener_is_watched_again_though_the_selector_had_no_memory_for_it(self) -> None:
+    def test_the_listener_is_registered_again_after_the_selector_had_no_memory_for_it(self) -> None:
         self.loop.watch(self.front._sock, READ, 0, self.front._on_readable)
         self.front._mask = 0  # as while no descriptor is free for a client
         no_memory = OSError(errno.ENOMEM, "transient")
@@ -122,7 +126,7 @@
         self.at_node().conn.send(SERVED)
         self.answers(client, b"$1\r\nV\r\n")
 
-    def test_descriptors_are_given_back_whatever_fails(self) -> None:
+    def test_descriptors_are_released_if_setting_a_socket_option_fails(self) -> None:
         used = self.budget.used
         with mock.patch.object(socket.socket, "setsockopt", side_effect=OSError(errno.EINVAL, "reset")):
             client = self.client()
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -8,7 +8,7 @@
 
 
 class Responses(unittest.TestCase):
-    def test_a_response_that_cannot_be_trusted_is_an_error(self) -> None:
+    def test_an_invalid_response_is_an_error(self) -> None:
         for data in (
             b"nonsense\r\n\r\n",
             b"HTTP/1.1 200 OK\r\n\r\n123456789",  # no length, and more bytes than allowed
@@ -20,14 +20,14 @@
             with self.subTest(data=data), self.assertRaises(http.HttpError):
                 http.ResponseReader(8).feed(data)
 
-    def test_a_response_may_close_its_connection(self) -> None:
+    def test_a_response_may_announce_the_close_of_its_connection(self) -> None:
         reader = http.ResponseReader(8)
         closing = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
         self.assertEqual(len(reader.feed(closing)), 1)
         self.assertTrue(reader.closes_connection)
 
-    def test_a_response_without_a_length_is_whole_at_the_end_and_not_before(self) -> None:
-        for head, whole in (
+    def test_a_response_without_a_length_is_complete_only_at_the_end_of_its_connection(self) -> None:
+        for head, is_complete in (
             (b"HTTP/1.1 200 OK\r\n\r\n", True),
             (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", True),
             (b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", False),
@@ -39,10 +39,12 @@
                 self.assertEqual(
                     (reader.feed(head + b"VA"), reader.feed(b"LUE"), reader.is_idle), ([], [], False)
                 )
-                answer = reader.finish()
-                self.assertEqual(bytes(answer.body) if answer else None, b"VALUE" if whole else None)
+                response = reader.finish()
+                self.assertEqual(
+                    bytes(response.body) if response else None, b"VALUE" if is_complete else None
+                )
 
-    def test_the_body_before_does_not_count_as_headers_of_the_next_response(self) -> None:
+    def test_a_body_does_not_count_as_headers_of_the_next_response(self) -> None:
         reader = http.ResponseReader(1 << 20)
         body = b"x" * (http.MAX_HEADER_BYTES + 1)
         large = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
@@ -51,18 +53,18 @@
             self.assertEqual(sum(len(reader.feed(piece)) for piece in first), 1)
             if not first[-1].endswith(head):
                 self.assertEqual(reader.feed(head), [])
-            self.assertEqual([bytes(one.body) for one in reader.feed(rest)], [b"V"])
+            self.assertEqual([bytes(response.body) for response in reader.feed(rest)], [b"V"])
 
-    def test_what_was_whole_before_the_noise_is_returned(self) -> None:
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nV"
-        for data, answers, idle in (
-            (whole, 1, True),
-            (whole + whole, 2, True),
-            (whole + whole[:9], 1, False),
-            (whole + b"noise\r\n", 1, False),
+    def test_responses_completed_before_invalid_bytes_are_returned(self) -> None:
+        complete = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nV"
+        for data, count, idle in (
+            (complete, 1, True),
+            (complete + complete, 2, True),
+            (complete + complete[:9], 1, False),
+            (complete + b"noise\r\n", 1, False),
         ):
             with self.subTest(data=data):
                 reader = http.ResponseReader(8)
-                self.assertEqual((len(reader.feed(data)), reader.is_idle), (answers, idle))
+                self.assertEqual((len(reader.feed(data)), reader.is_idle), (count, idle))
         with self.assertRaises(http.HttpError):
-            reader.feed(whole)  # no bytes after the invalid ones are parsed
+            reader.feed(complete)  # no bytes after the invalid ones are parsed
--- a/tests/net/test_idle_client_tracker.py
+++ b/tests/net/test_idle_client_tracker.py
@@ -11,7 +11,7 @@
 
 
 class Eviction(NetworkScene):
-    def test_clients_that_send_one_command_make_room_and_those_that_return_are_kept(self) -> None:
+    def test_clients_that_send_one_command_are_evicted_and_those_that_return_are_kept(self) -> None:
         """Incident r0d6542: clients with one command filled the clients' share, and no other client could
         connect."""
         for _ in range(60):  # other clients sent a second command soon, or never
@@ -23,15 +23,15 @@
         returning.conn.send(PING)
         self.answers(returning, b"+PONG\r\n" * 2)
         waiting = self.client(get())
-        once_only = [self.client(PING) for _ in range(share - 2)]
-        for peer in once_only:
+        single_command_clients = [self.client(PING) for _ in range(share - 2)]
+        for peer in single_command_clients:
             self.answers(peer, b"+PONG\r\n")
-        self.until(lambda: sum(bool(peer.ends) for peer in once_only) >= share // 4, "room")
+        self.until(lambda: sum(bool(peer.ends) for peer in single_command_clients) >= share // 4, "room")
         self.assertEqual((returning.ends, waiting.ends), ([], []))
         self.at_node().conn.send(SERVED)
         self.answers(waiting, b"$1\r\nV\r\n")
 
-    def test_a_silent_client_is_evicted_first_and_then_the_one_idle_for_longest(self) -> None:
+    def test_a_silent_client_is_evicted_first_and_then_the_longest_idle_one(self) -> None:
         first = self.client(PING)
         self.answers(first, b"+PONG\r\n")
         second = self.client(PING)
--- a/tests/net/test_resp.py
+++ b/tests/net/test_resp.py
@@ -42,7 +42,7 @@
 
 
 class RespParserErrors(unittest.TestCase):
-    def test_broken_framing_raises_a_framing_error(self) -> None:
+    def test_invalid_framing_raises_a_framing_error(self) -> None:
         for data in (
             b"PING\r\n",
             b"*x\r\n",
--- a/tests/net/test_ring_buffer.py
+++ b/tests/net/test_ring_buffer.py
@@ -13,21 +13,21 @@
     return ring
 
 
-class Bytes(unittest.TestCase):
-    def test_bytes_come_out_as_they_went_in_round_the_end_and_through_growth(self) -> None:
+class AppendAndRead(unittest.TestCase):
+    def test_bytes_are_read_in_order_across_the_wraparound_and_growth(self) -> None:
         ring = RingBuffer(5 * INITIAL_CAPACITY)
         appended = b""
-        taken = b""
-        for n in range(400):
-            data = bytes([n % 251]) * (n * 37 % 300)
+        received = b""
+        for step in range(400):
+            data = bytes([step % 251]) * (step * 37 % 300)
             if len(data) <= ring.available_space:
                 ring.append(data)
                 appended += data
-            taken += ring.read(n * 31 % 290)
-        taken += ring.read(len(ring))
-        self.assertEqual(taken, appended)
+            received += ring.read(step * 31 % 290)
+        received += ring.read(len(ring))
+        self.assertEqual(received, appended)
 
-    def test_the_bound_holds_and_an_empty_ring_is_small_again(self) -> None:
+    def test_the_maximum_size_is_enforced_and_an_empty_buffer_shrinks(self) -> None:
         ring = RingBuffer(3 * INITIAL_CAPACITY)
         ring.append(b"x" * 3 * INITIAL_CAPACITY)
         self.assertEqual((ring.available_space, len(ring.writable_view())), (0, 0))
@@ -38,7 +38,7 @@
 
 
 class Lines(unittest.TestCase):
-    def test_a_line_is_taken_without_its_end_once_it_is_whole_and_refused_if_it_is_bad(self) -> None:
+    def test_a_complete_line_is_returned_without_cr_lf_and_an_invalid_one_is_an_error(self) -> None:
         for data, line in [(b"ab\r\ncd", b"ab"), (b"\r\n", b""), (b"ab", None), (b"ab\r", None)]:
             with self.subTest(data=data):
                 self.assertEqual(ring_of(data).read_line(8), line)
