--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -46,7 +46,7 @@
         loop: EventLoop,
         budget: DescriptorBudget,
         sock: socket.socket,
-        owner: ConnectionHandler,
+        handler: ConnectionHandler,
         opening: bool = False,
         rank: WatchRank = WatchRank.OTHER,
     ) -> None:
@@ -60,7 +60,7 @@
         self._loop = loop
         self._budget = budget
         self._sock = sock
-        self._owner: ConnectionHandler = owner
+        self._handler: ConnectionHandler = handler
         self._rank = rank
         self._mask = 0  # the events that the loop watches the socket for
         self._failed = False  # a read has failed, for example because of a reset
@@ -81,7 +81,7 @@
         loop: EventLoop,
         budget: DescriptorBudget,
         address: Address,
-        owner: ConnectionHandler,
+        handler: ConnectionHandler,
         rank: WatchRank = WatchRank.OTHER,
     ) -> Connection:
         """Start to connect. Raises OSError if no socket can be created.
@@ -94,7 +94,7 @@
             code = sock.connect_ex(address)
         except OSError:  # the address is invalid
             code = errno.EINVAL
-        connection = cls(loop, budget, sock, owner, opening=True, rank=rank)
+        connection = cls(loop, budget, sock, handler, opening=True, rank=rank)
         if code not in (0, errno.EINPROGRESS, errno.EINTR):  # the last two continue, see connect(2)
             loop.call_soon(connection._fail)
         return connection
@@ -181,7 +181,7 @@
         if self.is_open:
             self.is_open = False
             self._loop.cancel(self._linger_timer)
-            self._owner = NULL_HANDLER
+            self._handler = NULL_HANDLER
             self._linger_timer = None
             self._loop.watch(self._sock, self._mask, 0, self._ready, self._rank)
             self._mask = 0
@@ -191,9 +191,9 @@
     def _fail(self) -> None:
         """Close after a failure, and notify the handler."""
         if self.is_open:
-            owner = self._owner
+            handler = self._handler
             self.close()
-            owner.on_closed(False)
+            handler.on_closed(False)
 
     def _interest(self) -> None:
         """Watch the socket for what is possible now: reading with space in the inbox, writing queued
@@ -219,17 +219,17 @@
                     self._fail()
                     return
                 self.connecting = False
-                self._call_owner(self._owner.on_connected)
-            if mask & WRITE and self.is_open and len(self.outbox) and self._owner.may_write():
+                self._call_handler(self._handler.on_connected)
+            if mask & WRITE and self.is_open and len(self.outbox) and self._handler.may_write():
                 self._flush()
                 if self.is_open:
-                    self._call_owner(self._owner.on_written)
+                    self._call_handler(self._handler.on_written)
             if mask & READ and self.is_open:
                 self._read()
         finally:
             self._interest()
 
-    def _call_owner(self, call: Callable[[], None]) -> None:
+    def _call_handler(self, call: Callable[[], None]) -> None:
         """Call the handler. An exception ends only this connection; the loop logs it."""
         try:
             call()
@@ -243,14 +243,14 @@
         if self._lingering:
             self._discard_input()
         elif self._fill_inbox():
-            self._call_owner(self._owner.on_data)
+            self._call_handler(self._handler.on_data)
         if self._failed:
             self._fail()
         elif self.eof and self.is_open:
             if self._lingering:
                 self._shut_down_sending()
             else:
-                self._call_owner(lambda: self._owner.on_closed(True))
+                self._call_handler(lambda: self._handler.on_closed(True))
 
     def _fill_inbox(self) -> bool:
         """Read until no more bytes are available or the inbox is full; return whether any were read.
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -237,7 +237,7 @@
 
     def _make_ready(self) -> Callable[[Connection, int], None]:
         def ready(connection: Connection, mask: int) -> None:
-            if connection.connecting and isinstance(connection._owner, UpstreamConnection):
+            if connection.connecting and isinstance(connection._handler, UpstreamConnection):
                 self.held.append(connection)
                 connection._loop.watch(connection._sock, connection._mask, 0, connection._ready)
                 connection._mask = 0
