--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -73,7 +73,7 @@
         # Without the option the connection works, only slower. One that is already reset fails later.
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._interest()
+        self._update_watch()
 
     @classmethod
     def connect(
@@ -108,17 +108,17 @@
         self.bytes_queued += len(data)
         if not self.connecting and len(self.outbox) == len(data):
             self._flush()
-        self._interest()
+        self._update_watch()
 
     def resume_reading(self) -> None:
         """Resume reading. Call this after taking bytes out of a full inbox outside of `on_data`."""
-        self._interest()
+        self._update_watch()
 
     def read_available(self) -> None:
         """Read the bytes that have arrived, as before a close: the peer considers them accepted."""
         if self.is_open and not (self.connecting or self.eof or self._lingering):
             self._read()
-            self._interest()
+            self._update_watch()
 
     @property
     def is_disconnected(self) -> bool:
@@ -183,7 +183,7 @@
             self._loop.cancel(self._linger_timer)
             self._handler = NULL_HANDLER
             self._linger_timer = None
-            self._loop.watch(self._sock, self._mask, 0, self._ready, self._rank)
+            self._loop.watch(self._sock, self._mask, 0, self._on_ready, self._rank)
             self._mask = 0
             self._sock.close()
             self._budget.used -= 1
@@ -195,7 +195,7 @@
             self.close()
             handler.on_closed(False)
 
-    def _interest(self) -> None:
+    def _update_watch(self) -> None:
         """Watch the socket for what is possible now: reading with space in the inbox, writing queued
         bytes."""
         if not self.is_open:
@@ -204,14 +204,14 @@
         can_write = self.connecting or len(self.outbox)
         mask = (READ if can_read else 0) | (WRITE if can_write else 0)
         try:
-            self._loop.watch(self._sock, self._mask, mask, self._ready, self._rank)
+            self._loop.watch(self._sock, self._mask, mask, self._on_ready, self._rank)
         except OSError:
             metrics.selector_errors += 1
-            self._loop.call_at(self._loop.now() + WATCH_RETRY_MS, self._interest)
+            self._loop.call_at(self._loop.now() + WATCH_RETRY_MS, self._update_watch)
             return
         self._mask = mask
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         """Handle the events for which the socket is ready."""
         try:
             if self.connecting:
@@ -227,7 +227,7 @@
             if mask & READ and self.is_open:
                 self._read()
         finally:
-            self._interest()
+            self._update_watch()
 
     def _call_handler(self, call: Callable[[], None]) -> None:
         """Call the handler. An exception ends only this connection; the loop logs it."""
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -106,7 +106,7 @@
         value = b"$65536\r\n" + b"x" * 65536 + b"\r\n"
         self.script.react = lambda event: []
         client = self.client()
-        client.conn._loop.watch(client.conn._sock, client.conn._mask, 0, client.conn._ready)
+        client.conn._loop.watch(client.conn._sock, client.conn._mask, 0, client.conn._on_ready)
         client.conn._mask = 0  # the client does not read
         client.conn._sock.setblocking(True)
         client.conn._sock.sendall(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:40]))
@@ -118,7 +118,7 @@
         self.until(lambda: accepted.bytes_sent > 0, "some bytes")
         self.assertLessEqual(len(accepted.outbox), accepted.outbox.max_size)
         client.conn._sock.setblocking(False)
-        client.conn._interest()
+        client.conn._update_watch()
         self.until(lambda: len(client.got) >= 32 * len(value), "all answers")
         self.assertEqual(client.got, value * 32)
 
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -93,7 +93,7 @@
 class Unreachable(DiscoveryScene):
     def test_a_call_whose_connection_does_not_come_up_is_given_up_before_it_counts_as_silent(self) -> None:
         """One begun while discovery could not be reached may never come up, also when it can be again."""
-        with mock.patch.object(Connection, "_ready"):  # it stays as it is
+        with mock.patch.object(Connection, "_on_ready"):  # it stays as it is
             self.registry.open_watch()
             begun_at = self.loop.now()
             self.until(lambda: self.updates, "the end of the call")
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -231,15 +231,15 @@
 
     def __init__(self) -> None:
         self.held = list[Connection]()
-        self._really_ready = Connection._ready
-        self._patch = mock.patch.object(Connection, "_ready", self._make_ready())
+        self._really_ready = Connection._on_ready
+        self._patch = mock.patch.object(Connection, "_on_ready", self._make_ready())
         self._patch.start()
 
     def _make_ready(self) -> Callable[[Connection, int], None]:
         def ready(connection: Connection, mask: int) -> None:
             if connection.connecting and isinstance(connection._handler, UpstreamConnection):
                 self.held.append(connection)
-                connection._loop.watch(connection._sock, connection._mask, 0, connection._ready)
+                connection._loop.watch(connection._sock, connection._mask, 0, connection._on_ready)
                 connection._mask = 0
             else:
                 self._really_ready(connection, mask)
@@ -249,7 +249,7 @@
     def release(self) -> None:
         self.stop()
         for connection in self.held:
-            connection._interest()
+            connection._update_watch()
 
     def stop(self) -> None:
         self._patch.stop()
