--- a/lupinladder/net/client_connection.py
+++ b/lupinladder/net/client_connection.py
@@ -251,7 +251,7 @@
         if self in self._listener.clients:
             metrics.connections_closed[reason] += 1
             self._listener.remove_client(self)
-            self._listener.await_closing(self.conn)
+            self._listener.add_lingering(self.conn)
         self.conn.close_gracefully()
         self._listener.update_listening()
 
--- a/lupinladder/net/client_listener.py
+++ b/lupinladder/net/client_listener.py
@@ -73,7 +73,7 @@
         self.return_estimator = IdleReturnEstimator()
         self.idle_clients = IdleClientTracker(self.return_estimator)
         self.capacity = ConnectionCapacity(budget.limit // CLIENT_DESCRIPTOR_DIVISOR, loop.now())
-        self.closing_connections: list[Connection] = []  # of former clients, until all bytes are sent
+        self.lingering_connections: list[Connection] = []  # of former clients, until all bytes are sent
         self.shutdown: ShutdownSchedule | None = None  # set by `shut_down`
         self.closes_idle_clients = False  # during a shutdown: each connection is closed as soon as it is idle
         self.open_request_ids = set[bytes]()  # ids of the requests that await their replies
@@ -91,14 +91,14 @@
         self.clients.pop(client, None)
         self.idle_clients.discard(client)
 
-    def await_closing(self, connection: Connection) -> None:
+    def add_lingering(self, connection: Connection) -> None:
         """Keep track of a connection until its last bytes are sent.
 
         Connections that have closed since the last call are dropped; otherwise the list would grow with each
         connection that was ever accepted.
         """
-        self.closing_connections = [other for other in self.closing_connections if other.is_open]
-        self.closing_connections.append(connection)
+        self.lingering_connections = [other for other in self.lingering_connections if other.is_open]
+        self.lingering_connections.append(connection)
 
     # Closing clients that are not worth their descriptors
 
@@ -222,10 +222,10 @@
         A client that has sent a part of a command may complete it at any time; the command then counts as
         accepted.
         """
-        self.closing_connections = [
-            connection for connection in self.closing_connections if connection.is_open
+        self.lingering_connections = [
+            connection for connection in self.lingering_connections if connection.is_open
         ]
-        return self._stopped and not self.clients and not self.closing_connections
+        return self._stopped and not self.clients and not self.lingering_connections
 
     def _stop_listening(self) -> None:
         """Accept all clients that have connected so far, then close the listening socket.
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -40,8 +40,8 @@
                 client.conn.close_gracefully()
                 self.until(lambda: not client.conn.is_open, "our end")  # noqa: B023
             del connection, request, attempt, upstream
-        self.front.await_closing(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
-        self.assertEqual(len(self.front.closing_connections), 1)
+        self.front.add_lingering(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
+        self.assertEqual(len(self.front.lingering_connections), 1)
         self.script.events.clear()
         self.assertEqual([ref() for ref in refs if ref()], [])
 
