--- a/lupinladder/connection_limits/idle_return_estimator.py
+++ b/lupinladder/connection_limits/idle_return_estimator.py
@@ -6,7 +6,7 @@
 handshake for each client that would have sent another command. The probability of a return is therefore
 estimated from observed idle periods, with the product-limit estimate (Kaplan and Meier 1958) over spans of
 idle time. Of the idle periods that reached a span, it counts the fraction that ended in the span with a
-command. An idle period that was cut short by a close counts in the spans that it outlived and in no other, so
+command. An idle period that was cut short by a close counts in the spans that it survived and in no other, so
 that closing a connection is not taken as evidence that clients do not return.
 
 All times are in milliseconds. No state is kept for individual connections.
@@ -39,29 +39,29 @@
     """Counts how idle periods ended and estimates from it how likely clients are to return."""
 
     def __init__(self) -> None:
-        # By group and span: idle periods that ended in the span with a command, and those that outlived it.
+        # By group and span: idle periods that ended in the span with a command, and those that survived it.
         self._returned = [[0.0] * IDLE_SPAN_COUNT for _ in COMMAND_COUNT_GROUPS]
-        self._outlived = [[0.0] * IDLE_SPAN_COUNT for _ in COMMAND_COUNT_GROUPS]
+        self._survived = [[0.0] * IDLE_SPAN_COUNT for _ in COMMAND_COUNT_GROUPS]
 
     def record_return(self, command_count: int, idle_time: float) -> None:
-        """Count an idle period that ended with a command; `record_outlived` counts the spans before its last
+        """Count an idle period that ended with a command; `record_survived` counts the spans before its last
         one."""
         span = idle_span(idle_time)
         if span < IDLE_SPAN_COUNT:
             self._add(self._returned, command_count_group(command_count), span)
 
-    def record_outlived(self, command_count: int, first_span: int, end_span: int) -> None:
-        """Count an idle period that has outlived the spans from `first_span` up to, not including,
+    def record_survived(self, command_count: int, first_span: int, end_span: int) -> None:
+        """Count an idle period that has survived the spans from `first_span` up to, not including,
         `end_span`."""
         group = command_count_group(command_count)
         for span in range(first_span, min(end_span, IDLE_SPAN_COUNT)):
-            self._add(self._outlived, group, span)
+            self._add(self._survived, group, span)
 
     def _add(self, counts: list[list[float]], group: int, span: int) -> None:
         counts[group][span] += 1
-        if self._returned[group][span] + self._outlived[group][span] > MAX_REMEMBERED_IDLE_PERIODS:
+        if self._returned[group][span] + self._survived[group][span] > MAX_REMEMBERED_IDLE_PERIODS:
             self._returned[group][span] /= 2
-            self._outlived[group][span] /= 2
+            self._survived[group][span] /= 2
 
     def return_probability(self, command_count: int, idle_time: float) -> float:
         """Return the probability that a client that has been idle for `idle_time` sends a command soon.
@@ -80,8 +80,8 @@
         return_rate = INITIAL_RETURN_RATE
         for span in range(min(current_span + LOOKAHEAD_SPANS, IDLE_SPAN_COUNT)):
             returned = self._returned[group][span]
-            outlived = self._outlived[group][span]
-            return_rate = (returned + PRIOR_WEIGHT * return_rate) / (returned + outlived + PRIOR_WEIGHT)
+            survived = self._survived[group][span]
+            return_rate = (returned + PRIOR_WEIGHT * return_rate) / (returned + survived + PRIOR_WEIGHT)
             if span >= current_span:
                 no_return_probability *= 1 - return_rate
         return 1 - no_return_probability
--- a/lupinladder/net/client_activity.py
+++ b/lupinladder/net/client_activity.py
@@ -16,7 +16,7 @@
         self.command_count = 0
         self.last_active_at = now  # when the last command was read or the last reply written
         self._estimator = estimator
-        self._reported_spans = 0  # spans outlived by this idle period that the estimator has counted
+        self._reported_spans = 0  # spans survived by this idle period that the estimator has counted
 
     def on_command(self, was_idle: bool, now: float) -> None:
         """Record a command, which ends an idle period unless earlier commands still await replies."""
@@ -44,8 +44,8 @@
         self._reported_spans = 0
 
     def _report_spans(self, now: float) -> None:
-        """Report to the estimator which spans this idle period has outlived since the last report."""
+        """Report to the estimator which spans this idle period has survived since the last report."""
         current_span = idle_span(now - self.last_active_at)
         if current_span > self._reported_spans:
-            self._estimator.record_outlived(self.command_count, self._reported_spans, current_span)
+            self._estimator.record_survived(self.command_count, self._reported_spans, current_span)
             self._reported_spans = current_span
--- a/tests/connection_limits/test_idle_return_estimator.py
+++ b/tests/connection_limits/test_idle_return_estimator.py
@@ -33,7 +33,7 @@
         before = estimator.return_probability(1, 250)
         for _ in range(500):
             # The proxy closed the connection at 250 ms, so the end of this span was not observed.
-            estimator.record_outlived(1, 0, idle_span(250))
+            estimator.record_survived(1, 0, idle_span(250))
         self.assertAlmostEqual(estimator.return_probability(1, 250), before, delta=0.01)
 
     def test_the_estimate_follows_a_change_of_behaviour(self) -> None:
@@ -48,7 +48,7 @@
     ) -> None:
         estimator = IdleReturnEstimator()
         for number, client in enumerate(clients):
-            estimator.record_outlived(client.command_count, 0, idle_span(client.idle_time))
+            estimator.record_survived(client.command_count, 0, idle_span(client.idle_time))
             if number % 2:
                 estimator.record_return(client.command_count, client.idle_time)
         self.assertTrue(0 <= estimator.return_probability(command_count, idle_time) <= 1)
--- a/tests/net/test_idle_client_tracker.py
+++ b/tests/net/test_idle_client_tracker.py
@@ -15,7 +15,7 @@
         """Incident r0d6542: clients with one command filled the clients' share, and no other client could
         connect."""
         for _ in range(60):  # other clients sent a second command soon, or never
-            self.front.return_estimator.record_outlived(1, 0, 6)
+            self.front.return_estimator.record_survived(1, 0, 6)
             self.front.return_estimator.record_return(2, 30)
         share = self.SOCKETS // 3
         returning = self.client(PING)
--- a/tests/support/idle_periods.py
+++ b/tests/support/idle_periods.py
@@ -21,8 +21,8 @@
     estimator = IdleReturnEstimator()
     for number in range(idle_periods):
         if number < idle_periods * returning_share:
-            estimator.record_outlived(command_count, 0, idle_span(returned_after))
+            estimator.record_survived(command_count, 0, idle_span(returned_after))
             estimator.record_return(command_count, returned_after)
         else:
-            estimator.record_outlived(command_count, 0, IDLE_SPAN_COUNT)
+            estimator.record_survived(command_count, 0, IDLE_SPAN_COUNT)
     return estimator
