--- a/lupinladder/net/client_listener.py
+++ b/lupinladder/net/client_listener.py
@@ -18,7 +18,7 @@
 from lupinladder.net.log import log_event
 from lupinladder.net.metrics import metrics
 from lupinladder.net.request_dispatcher import RequestDispatcher
-from lupinladder.net.transient_errors import FAILED_CONNECTION_ERRORS, is_in
+from lupinladder.net.transient_errors import FAILED_CONNECTION_ERRORS, has_errno_in
 
 LISTEN_BACKLOG = 1024
 MAX_ACCEPTS_PER_EVENT = 64
@@ -192,7 +192,7 @@
             return AcceptResult.BACKLOG_EMPTY
         except OSError as error:
             metrics.accept_errors += 1
-            if is_in(error, FAILED_CONNECTION_ERRORS):
+            if has_errno_in(error, FAILED_CONNECTION_ERRORS):
                 return AcceptResult.DEQUEUED
             log_event("accept_failed", error=error)
             self._accept_failed_at = self.loop.now()
--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -13,7 +13,7 @@
 from lupinladder.net.event_loop import EventLoop, Timer, WatchRank
 from lupinladder.net.metrics import metrics
 from lupinladder.net.ring_buffer import RingBuffer
-from lupinladder.net.transient_errors import RETRIED_TRANSFER_ERRORS, is_in
+from lupinladder.net.transient_errors import RETRIED_TRANSFER_ERRORS, has_errno_in
 
 # The inbox holds two of the largest commands. Longer replies are taken out of it in parts.
 MAX_INBOX_BYTES = 160 << 10
@@ -134,7 +134,7 @@
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
-            return is_in(error, RETRIED_TRANSFER_ERRORS)
+            return has_errno_in(error, RETRIED_TRANSFER_ERRORS)
         return False  # a byte or an end of input is waiting
 
     def detect_disconnect(self) -> None:
@@ -296,7 +296,7 @@
         try:
             count = self._sock.recv_into(space)
         except OSError as error:
-            self._failed = not is_in(error, RETRIED_TRANSFER_ERRORS)
+            self._failed = not has_errno_in(error, RETRIED_TRANSFER_ERRORS)
             return 0
         if not count:
             self.eof = True
@@ -310,7 +310,7 @@
                 self.bytes_sent += count
                 self.outbox.discard(count)
         except OSError as error:
-            if not is_in(error, RETRIED_TRANSFER_ERRORS):
+            if not has_errno_in(error, RETRIED_TRANSFER_ERRORS):
                 self._loop.call_soon(self._fail)  # not from within the handler's own call
                 return
         if self._lingering:
--- a/lupinladder/net/transient_errors.py
+++ b/lupinladder/net/transient_errors.py
@@ -33,6 +33,6 @@
 RETRIED_START_ERRORS = RESOURCE_ERRORS | {errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EINTR, errno.EIO}
 
 
-def is_in(error: OSError, numbers: frozenset[int]) -> bool:
+def has_errno_in(error: OSError, numbers: frozenset[int]) -> bool:
     """Whether the error has one of these numbers."""
     return error.errno in numbers
--- a/lupinladder/startup.py
+++ b/lupinladder/startup.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from lupinladder.net.log import log_event
-from lupinladder.net.transient_errors import RETRIED_START_ERRORS, is_in
+from lupinladder.net.transient_errors import RETRIED_START_ERRORS, has_errno_in
 
 RETRY_S = 0.1  # between two tries
 TIMEOUT_S = 8.0  # of all tries: a restarted proxy has to be ready within 10 s (standing test, "Pass or fail")
@@ -26,7 +26,11 @@
         try:
             return make()
         except OSError as error:
-            if not is_in(error, RETRIED_START_ERRORS) or is_cancelled() or time.monotonic() > give_up_at:
+            if (
+                not has_errno_in(error, RETRIED_START_ERRORS)
+                or is_cancelled()
+                or time.monotonic() > give_up_at
+            ):
                 raise
             log_event("start_postponed", error=error)
         time.sleep(RETRY_S)
