--- a/lupinladder/net/client_connection.py
+++ b/lupinladder/net/client_connection.py
@@ -176,8 +176,7 @@
             reply.request_id = b""  # released once: the id may be in use again when this client disconnects
 
     def flush(self) -> None:
-        """Write the replies that are next in order while the outbox has space; then resume reading or
-        close."""
+        """Write the next replies in order while the outbox has space; then resume reading, or close."""
         self._write_replies()
         if not self.conn.is_open:
             return
@@ -256,7 +255,7 @@
         self._listener.update_listening()
 
     def close_if_idle(self, reason: CloseReason) -> bool:
-        """Close the connection if it is idle; return whether it was.
+        """Close the connection if it is idle; return whether it was closed.
 
         A command that was written before the close counts as accepted, so the bytes that have arrived are
         read first.
@@ -269,8 +268,10 @@
         return False
 
     def close_if_timed_out(self, now: float, descriptors_short: bool) -> None:
-        """Close a client that is idle or sends a command for too long; a command usually takes only
-        moments."""
+        """Close a client that has been idle, or in the middle of a command, for too long.
+
+        Such a client holds a descriptor without using it: a command normally arrives within moments.
+        """
         self.conn.detect_disconnect()
         if self._pending_replies or self._closing or len(self.conn.outbox):
             return
--- a/lupinladder/net/client_listener.py
+++ b/lupinladder/net/client_listener.py
@@ -100,7 +100,7 @@
         self.lingering_connections = [other for other in self.lingering_connections if other.is_open]
         self.lingering_connections.append(connection)
 
-    # Closing clients that are not worth their descriptors
+    # Closing clients that are unlikely to use their descriptors
 
     def _sweep(self) -> None:
         now = self.loop.now()
@@ -250,9 +250,9 @@
             self._close_idle_clients()
 
     def _accept_backlog(self) -> bool:
-        """Accept all waiting clients; return False if that is not possible now.
+        """Accept all waiting clients; return False if not all of them can be accepted now.
 
-        It is not possible if accept fails, or if no descriptor is free, not even one reserved for upstream
+        The reason is that accept fails, or that no descriptor is free, not even one reserved for upstream
         connections.
         """
         for _ in range(LISTEN_BACKLOG):
