--- a/lupinladder/startup.py
+++ b/lupinladder/startup.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 from lupinladder.net.log import log_event
-from lupinladder.net.transient_errors import RETRIED_START_ERRORS, is_in
+from lupinladder.net.transient_errors import RETRIED_START_ERRORS, has_errno_in
 
 RETRY_INTERVAL_S = 0.1  # between two calls
 RETRY_TIMEOUT_S = (
@@ -28,7 +28,11 @@
         try:
             return create()
         except OSError as error:
-            if not is_in(error, RETRIED_START_ERRORS) or is_cancelled() or time.monotonic() > retry_until:
+            if (
+                not has_errno_in(error, RETRIED_START_ERRORS)
+                or is_cancelled()
+                or time.monotonic() > retry_until
+            ):
                 raise
             log_event("start_postponed", error=error)
         time.sleep(RETRY_INTERVAL_S)
--- a/tests/connection_limits/test_idle_return_estimator.py
+++ b/tests/connection_limits/test_idle_return_estimator.py
@@ -1,4 +1,4 @@
-"""How likely idle clients are to return."""
+"""The estimated probability that idle clients return."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
         self.assertAlmostEqual(estimator.return_probability(1, 0), 0.5, delta=0.06)
         self.assertLess(estimator.return_probability(1, 300), 0.2)
 
-    def test_closing_connections_early_is_no_evidence_that_nobody_returns(self) -> None:
+    def test_connections_closed_early_are_not_evidence_that_clients_do_not_return(self) -> None:
         estimator = estimator_after(1, 100, 0.8, 300)
         before = estimator.return_probability(1, 250)
         for _ in range(500):
-            # Closed by the proxy at 250 ms: nothing is known about the span that this was in.
-            estimator.record_outlived(1, 0, idle_span(250))
+            # The proxy closed the connection at 250 ms, so the end of this span was not observed.
+            estimator.record_survived(1, 0, idle_span(250))
         self.assertAlmostEqual(estimator.return_probability(1, 250), before, delta=0.01)
 
     def test_the_estimate_follows_a_change_of_behaviour(self) -> None:
@@ -43,12 +43,12 @@
         self.assertGreater(estimator.return_probability(1, 10), 0.8)
 
     @given(IDLE_CLIENTS, st.integers(1, 9), st.floats(0, 1e5))
-    def test_the_estimate_is_a_probability_whatever_was_seen(
+    def test_the_estimate_is_a_probability_for_any_observations(
         self, clients: list[IdleClient], command_count: int, idle_time: float
     ) -> None:
         estimator = IdleReturnEstimator()
         for number, client in enumerate(clients):
-            estimator.record_outlived(client.command_count, 0, idle_span(client.idle_time))
+            estimator.record_survived(client.command_count, 0, idle_span(client.idle_time))
             if number % 2:
                 estimator.record_return(client.command_count, client.idle_time)
         self.assertTrue(0 <= estimator.return_probability(command_count, idle_time) <= 1)
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -94,7 +94,7 @@
     def test_the_connect_timeout_ends_a_watch_before_the_silence_timeout(self) -> None:
         """A connection attempt that started while discovery was unreachable may never succeed, even after
         discovery has become reachable again."""
-        with mock.patch.object(Connection, "_ready"):  # the connection is never established
+        with mock.patch.object(Connection, "_on_ready"):  # the connection is never established
             self.registry.open_watch()
             started_at = self.loop.now()
             self.until(lambda: self.updates, "the connect timeout")
