--- a/lupinladder/net/config.py
+++ b/lupinladder/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands a proxy, and the operator's own settings beside it."""
+"""Loads the proxy's configuration from the platform and the optional settings of the operator."""
 
 from __future__ import annotations
 
@@ -15,28 +15,27 @@
 from lupinladder.net.connection import Address
 from lupinladder.net.discovery.endpoint_parser import EndpointParser, parse_address
 
-if TYPE_CHECKING:  # imported only where an operator's file asks for them
+if TYPE_CHECKING:  # at run time, imported only if there is an operator's file
     from lupinladder.operator_config.settings import OperatorSettings
 
 CONFIG_VARIABLE = "GW_CONFIG"
 OPERATOR_VARIABLE = "LUPINLADDER_OPERATOR"
 
-# Descriptors for the standard streams, the selector, the signals' sockets and files of the library.
+# Descriptors for the standard streams, the selector, the signal sockets and files of the standard library.
 RESERVED_DESCRIPTORS = 24
-# What one open request may hold of values: one read, one on its way out, and one spare.
+# Maximum memory for the values of one open request: one being read, one being sent, and one spare.
 BYTES_PER_OPEN_REQUEST = 3 * MAX_STORED_VALUE_BYTES
-# The part of the memory that is for values: the rest is for the interpreter, the buffers and what is kept
-# of clients.
+# Share of the memory limit for values; the rest is for the interpreter, the buffers and the clients' state.
 MEMORY_SHARE_FOR_VALUES = 0.5
 BYTES_PER_MB = 1 << 20
 
 
 class ConfigError(LupinladderError):
-    """A configuration that cannot be used; the text is one line."""
+    """A configuration cannot be used; the message is one line."""
 
 
 class ConfigUnreadableError(ConfigError, OSError):
-    """A configuration file that the system does not let be read, perhaps only now; `errno` tells."""
+    """A configuration file cannot be read, possibly only for now; `errno` is that of the system call."""
 
     def __init__(self, path: str, error: OSError) -> None:
         super().__init__(f"{path}: {error.strerror}")
@@ -45,29 +44,29 @@
 
 @dataclass(slots=True)
 class ProxyConfig:
-    """The configuration of one proxy, checked."""
+    """The validated configuration of one proxy."""
 
     name: str
     listen_address: Address
     discovery_address: Address
     seed: int
     settings: Settings  # of the balancer
-    classes: list[str]  # names of the request classes, in the order of their index
+    classes: list[str]  # names of the request classes, ordered by index
     tenants: list[str]
     zones: list[str]
-    kinds: list[str]  # names of the kinds of servers, in the order of their index
+    kinds: list[str]  # names of the server kinds, ordered by index
     endpoint_parser: EndpointParser
     origin_kind: int
-    idle_timeout_ms: float  # after which a server closes an idle connection
+    idle_timeout_ms: float  # time after which a server closes an idle connection
     connect_timeout_ms: float
     streams_per_connection: int
     max_open_requests: int
-    max_descriptors: int  # for connections: the reserved ones are taken off
-    known: dict[str, Any]  # the endpoint list as it was last known, in discovery's form
+    max_descriptors: int  # for connections, without the reserved descriptors
+    known: dict[str, Any]  # last known endpoint list in discovery's format
 
 
 def load(env: Mapping[str, str]) -> ProxyConfig:
-    """Read the file that GW_CONFIG names.
+    """Load the configuration file that GW_CONFIG names.
 
     Raises ConfigError if it cannot be used, ConfigUnreadableError if it cannot be read.
     """
@@ -85,7 +84,7 @@
 
 
 def parse(text: str) -> ProxyConfig:
-    """Read a configuration from its JSON text. ValueError for whatever is missing or wrong."""
+    """Parse a configuration in JSON. Raises ValueError if anything is missing or invalid."""
     tree = json.loads(text)
     settings_tree = read_value(tree, "settings", dict)
     settings = parse_settings(json.dumps(settings_tree))
@@ -93,7 +92,7 @@
     kinds = [str(server_kind) for server_kind in read_value(settings_tree, "kinds", list)]
     endpoint_parser = EndpointParser(zones, kinds)
     known = read_value(tree, "known", dict)
-    endpoint_parser.check(known)  # a list that is none is refused here, not at its first use
+    endpoint_parser.check(known)  # an invalid list is rejected here, not at its first use
     tenants = read_value(settings_tree, "tenants", list, [])
     return ProxyConfig(
         name=read_value(tree, "name", str),
@@ -117,7 +116,7 @@
 
 
 def _max_open_requests(tree: Any, settings_tree: Any) -> int:
-    """How many requests may be open at once: what the settings allow, as far as memory holds their values."""
+    """Return the maximum number of open requests: that of the settings, reduced to what fits in memory."""
     allowed = read_value(settings_tree, "ceilings.max-open", int)
     memory_bytes = read_value(tree, "limits.memory_mb", float) * BYTES_PER_MB
     fitting = int(memory_bytes * MEMORY_SHARE_FOR_VALUES / BYTES_PER_OPEN_REQUEST)
@@ -125,13 +124,15 @@
 
 
 def load_operator_settings(env: Mapping[str, str]) -> OperatorSettings | None:
-    """The settings of the file that LUPINLADDER_OPERATOR names: what is on beyond the platform's needs.
-    None if the variable is not set; ConfigError if the file cannot be used."""
+    """Load the operator's file that LUPINLADDER_OPERATOR names.
+
+    Returns None if the variable is not set. Raises ConfigError if the file cannot be used.
+    """
     path = env.get(OPERATOR_VARIABLE)
     if not path:
         return None
     try:
-        # The platform's start does without these, so it needs none of their packages.
+        # Imported here so that a start without an operator's file needs none of their packages.
         from lupinladder.operator_config import settings
         from lupinladder.operator_config.toml_decoder import TomlError
     except ModuleNotFoundError as error:
--- a/lupinladder/net/state_persister.py
+++ b/lupinladder/net/state_persister.py
@@ -1,7 +1,7 @@
-"""Restores the balancer's state from the store at the start, and stores what changes from then on.
+"""Restores the balancer's state from the store at startup and stores its later changes.
 
-The event loop only collects what has changed and hands it over; a thread of the store's own writes it, so
-that no request waits for a disk. Imported only where the operator's file asks for a store.
+The event loop only collects changes and passes them to the store's own thread, which writes them, so that no
+request waits for the disk. This module is imported only if the operator's file configures a store.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
     StoreOwner,
 )
 
-CLOSE_TIMEOUT_S = 0.5  # for the last records at a shutdown; a disk that hangs holds nobody up for longer
-NO_LIST_INDEX = -1  # before the first look at discovery's list
+CLOSE_TIMEOUT_S = 0.5  # maximum time that a shutdown waits for the last records, as the disk may hang
+NO_LIST_INDEX = -1  # used until the first list has been stored
 
 
 def deployment_digest(conf: ProxyConfig) -> str:
-    """Return a digest of what limits depend on: classes, zones, server types, the number of proxies.
+    """Return a digest of the settings that limits depend on.
 
-    The digest is stored. Another input, or another order of it, would make each proxy leave its own store
-    unused after an upgrade.
+    They include the request classes, zones, server kinds and the number of proxies. The digest is stored: if
+    its inputs or their order changed, each proxy would ignore its own store after an upgrade.
     """
     settings = conf.settings
     digested = [
@@ -62,44 +62,44 @@
 
 @dataclass(slots=True)
 class WriteRecords:
-    """Asks the store's thread to keep and flush these records."""
+    """Tells the store's thread to put and flush these records."""
 
     records: list[StoredRecord]
 
 
 @dataclass(slots=True)
 class CloseStore:
-    """Asks the store's thread to write what waits, close the store and end."""
+    """Tells the store's thread to close the store, which writes pending records, and to end."""
 
 
 class StoreWriter(threading.Thread):
-    """The thread that owns the store once it is open. It is given one batch of records at a time."""
+    """The thread that owns the opened store and writes one batch of records at a time."""
 
     def __init__(self, store: file_store.Store, clock: Callable[[], float]) -> None:
-        """`clock` returns the time that the store's rate of writing goes by, in ms."""
+        """`clock` returns the time in ms that the store's write budget uses."""
         super().__init__(name="store", daemon=True)
         self._store = store
         self._clock = clock
         self._messages: SimpleQueue[WriteRecords | CloseStore] = SimpleQueue()
-        self.busy = False  # a batch is being written; changes are collected until it is done
+        self.busy = False  # whether a batch is being written; until it is done no other batch is collected
 
     def write(self, batch: list[StoredRecord]) -> None:
-        """Hand a batch over to the thread."""
+        """Pass a batch to the thread."""
         self.busy = True
         self._messages.put(WriteRecords(batch))
 
     def finish(self, timeout_s: float) -> None:
-        """Let the thread write what waits and end, and wait for it for at most so long."""
+        """Tell the thread to write pending records and end, and wait for its end up to the timeout."""
         self._messages.put(CloseStore())
         self.join(timeout_s)
 
     def run(self) -> None:
-        """Handle messages until the store is closed; an error is logged, and the proxy serves on without."""
+        """Handle messages until the store is closed. Errors are logged and don't affect requests."""
         while True:
             message = self._messages.get()
             try:
                 self._handle(message)
-            except Exception as error:  # noqa: BLE001 - the boundary of the thread
+            except Exception as error:  # noqa: BLE001 - last handler of the thread
                 metrics.store_errors += 1
                 details = traceback.format_exc().strip().replace("\n", " | ")
                 log_event("store_failed", error=f"{type(error).__name__}: {error}", traceback=details)
@@ -117,19 +117,20 @@
 
 
 class StatePersister:
-    """One proxy's store, from its start to its end. Times are the event loop's: Unix time in ms."""
+    """Persists the state of one proxy. Times are Unix time in ms on the event loop's clock."""
 
-    _loop: EventLoop  # these three are set by `start`
+    _loop: EventLoop  # this and the next two attributes are set by `start`
     _dispatcher: RequestDispatcher
     _registry: EndpointRegistry
 
     def __init__(self, conf: ProxyConfig, settings: StoreSettings, now: float) -> None:
-        """Open the store and plan the start.
+        """Open the store and plan the warm start.
 
-        Raises ConfigError if the store cannot be used, StoreUnavailableError if it cannot be just now.
+        Raises ConfigError if the store cannot be used, StoreUnavailableError if it cannot be used for now.
         """
-        # The thread cannot ask the loop for the time: it reads a clock of its own, set to the loop's. Like
-        # the loop's it is monotonic, or a step of the wall clock would stop the writing for as long.
+        # The store's thread must not use the event loop, so it has its own clock with the loop's time. Like
+        # the loop's it is monotonic: if the wall clock were set back, a store that used it would stop writing
+        # until the clock had caught up.
         clock_offset_ms = now - time.monotonic() * 1000
         self._conf = conf
         self._interval_ms = settings.every_ms
@@ -143,7 +144,7 @@
         self._writer = StoreWriter(store, lambda: time.monotonic() * 1000 + clock_offset_ms)
 
     def start(self, loop: EventLoop, dispatcher: RequestDispatcher, registry: EndpointRegistry) -> None:
-        """Log what this start begins with, and store what changes from now on."""
+        """Log the source of the restored state, and store changes from now on."""
         log_event("warm_start", **self.warm_start_facts())
         self._loop = loop
         self._dispatcher = dispatcher
@@ -159,20 +160,20 @@
         self._writer.finish(CLOSE_TIMEOUT_S)
 
     def warm_start_facts(self) -> dict[str, object]:
-        """What this start begins with, as the facts of the log event `warm_start`."""
+        """Return the fields of the log event `warm_start`, which describe the restored state."""
         stored_age = self.beginning.stored_age
         restored = self.beginning.limits_restored
         return {
             "source": self.beginning.source.name.lower(),
             "stored_age": "none" if stored_age is None else format_age(stored_age),
-            "recent_starts": self._recent_starts,  # earlier ones, within the last minute
+            "recent_starts": self._recent_starts,  # earlier starts within the last minute
             "limits_full": restored.get(Usability.FULL, 0),
             "limits_partial": restored.get(Usability.PARTIAL, 0),
             "limits_probe": restored.get(Usability.PROBE, 0),
         }
 
     def _store_changes(self) -> None:
-        """Hand over what has changed, and come back after the interval."""
+        """Pass changes to the store's thread, unless it is busy, and schedule the next call."""
         if not self._writer.busy:
             self._writer.write(self._collect_changes(self._loop.now()))
         self._loop.call_at(self._loop.now() + self._interval_ms, self._store_changes)
@@ -182,7 +183,7 @@
         index = self._registry.index
         if index != self._list_index:
             if index < self._list_index:
-                self._generation += 1  # discovery began anew: its numbers can't be compared with earlier ones
+                self._generation += 1  # discovery restarted: the indexes are not comparable
             self._list_index = index
             changes.append(EndpointListRecord(index, now, self._generation, list(self._endpoints())))
         elif self._registry.is_current:
@@ -192,7 +193,7 @@
         return changes
 
     def _endpoints(self) -> Iterable[dict[str, Any]]:
-        """The listed servers that are ready, in discovery's form."""
+        """Yield the listed servers that are ready, in discovery's format."""
         for server in self._dispatcher.servers():
             address = self._registry.address_of(server.id)
             if address and server.endpoint.state is EndpointState.READY:
@@ -209,7 +210,7 @@
                 }
 
     def _limits(self) -> Iterable[LimitRecord]:
-        """The limit of each server on which a window has closed: what it gave, and when that was."""
+        """Yield the limit of each server that has completed a sample window and is not warming up."""
         for server in self._dispatcher.servers():
             limiter = server.limiter
             if limiter.sample_count and not server.warming_up:
@@ -226,7 +227,10 @@
 
 
 def _open_store(conf: ProxyConfig, settings: StoreSettings, now: float) -> file_store.Store:
-    """Open the proxy's store. ConfigError if it cannot be used, StoreUnavailableError if it cannot be now."""
+    """Open the proxy's store.
+
+    Raises ConfigError if it cannot be used, StoreUnavailableError if it cannot be used for now.
+    """
     path = Path(settings.path.replace("{name}", conf.name))
     owner = StoreOwner(conf.name, deployment_digest(conf))
     limits = file_store.StoreLimits(settings.bytes, settings.bytes_per_s, settings.sync)
--- a/lupinladder/operator_config/__init__.py
+++ b/lupinladder/operator_config/__init__.py
@@ -1,6 +1,6 @@
-"""The operator's own file, which switches on what the platform doesn't ask for; imported only with one.
+"""The operator's file, which enables optional features; imported only if there is such a file.
 
-- `settings`: its tables and their bounds
-- `toml_decoder`: TOML files as typed structs, with the line of each fault
-- `source_lines`: the line of each key in a TOML text
+- `settings`: the tables of the file and the bounds of their values
+- `toml_decoder`: decodes TOML files into typed structs and reports errors with their line
+- `source_lines`: finds the line of each key in a TOML text
 """
--- a/lupinladder/operator_config/settings.py
+++ b/lupinladder/operator_config/settings.py
@@ -1,6 +1,6 @@
-"""The operator's file: TOML, named by LUPINLADDER_OPERATOR, checked with the line of each fault.
+"""The settings of the operator's file, a TOML file that LUPINLADDER_OPERATOR names.
 
-An example with every setting is `deploy/operator.example.toml`; docs/recovery.md says what they do.
+`deploy/operator.example.toml` is an example with every setting; docs/recovery.md explains them.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from lupinladder.operator_config import toml_decoder
 from lupinladder.operator_config.toml_decoder import ConstraintError
 
-SCHEMA = 1  # the version of the file's form that this program reads
-STORE_BOUNDS: dict[str, tuple[float, float]] = {  # the lowest and the highest value of a setting
+SCHEMA = 1  # the supported version of the file's format
+STORE_BOUNDS: dict[str, tuple[float, float]] = {  # lowest and highest value of each setting
     "bytes": (1 << 16, 1 << 30),
     "bytes_per_s": (1000, 1e9),
     "every_ms": (50, 60_000),
@@ -21,13 +21,13 @@
 
 
 class StoreSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The table `[store]`: where the proxy stores what it keeps over a restart, and how much of it."""
+    """The table `[store]`: where the proxy stores its state, and the limits on size and writing."""
 
-    path: str  # {name} stands for the proxy's name
-    bytes: int = 4 << 20  # of the file, at most
-    bytes_per_s: float = 64_000.0  # written, in the mean
-    sync: bool = True  # each flush reaches the disk before the next
-    every_ms: float = 1000.0  # between looks at what has changed
+    path: str  # {name} is replaced by the proxy's name
+    bytes: int = 4 << 20  # maximum size of the file
+    bytes_per_s: float = 64_000.0  # maximum mean write rate
+    sync: bool = True  # whether each flush is synced to disk before it returns
+    every_ms: float = 1000.0  # interval between checks for changes
 
     def check(self) -> None:
         """Raise ConstraintError for a value that cannot be used."""
@@ -42,7 +42,7 @@
 
 
 class OperatorSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file. What it has no table for stays off."""
+    """The whole file. A feature without a table in the file is off."""
 
     schema: int = SCHEMA
     store: StoreSettings | None = None
@@ -57,5 +57,5 @@
 
 
 def load(path: str) -> OperatorSettings:
-    """Read the file. TomlError, whose text is one line, for every fault."""
+    """Load the operator's file. Raises TomlError, whose message is one line, for every error in it."""
     return toml_decoder.load(Path(path), OperatorSettings)
--- a/lupinladder/operator_config/source_lines.py
+++ b/lupinladder/operator_config/source_lines.py
@@ -1,7 +1,7 @@
-"""The line of each key in a TOML text.
+"""Finds the line of each key in a TOML text.
 
 The lines come from the concrete syntax tree of tree-sitter's TOML grammar, which is exact for tables, arrays
-of tables, dotted keys and inline tables alike.
+of tables, dotted keys and inline tables.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
 
-Step = str | int  # of a path: a key, or a place in an array
+Step = str | int  # element of a path: a key or an array index
 _Path = tuple[Step, ...]
 _STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]")
-_NO_VALUES = ("[", "]", ",", "comment")  # node types of an array's syntax
+_NO_VALUES = ("[", "]", ",", "comment")  # types of an array's child nodes that are not values
 
 
 def parse_path(path: str) -> list[Step]:
-    """Return the steps of a path such as `faults[2].at`: keys, and places in arrays."""
+    """Return the elements of a path such as `faults[2].at`: keys and array indexes."""
     dotted = path if path.startswith(".") else "." + path
     return [int(place) if place else key for key, place in _STEP.findall(dotted)]
 
 
 class SourceLines:
-    """The line of each key and value of a TOML text; lines count from 1."""
+    """The line of each key and value of a TOML text; the first line is 1."""
 
     def __init__(self, text: bytes) -> None:
         self._lines: dict[_Path, int] = {(): 1}
-        self._last_elements: dict[_Path, int] = {}  # the place of the newest element of each array of tables
+        self._last_elements: dict[_Path, int] = {}  # index of the last element of each array of tables
         tree = Parser(Language(tree_sitter_toml.language())).parse(text)
         for node in tree.root_node.children:
             if node.type == "pair":
@@ -38,21 +38,21 @@
                 self._add_table(node)
 
     def line(self, path: list[Step]) -> int:
-        """Return the line of the value at this path, or of the nearest table around it."""
+        """Return the line of the value at this path, or of the nearest enclosing table or array."""
         known = tuple(path)
         while known not in self._lines:
             known = known[:-1]
         return self._lines[known]
 
     def _add_table(self, node: Node) -> None:
-        """Add a table with its header, `[a.b]` or `[[a.b]]`."""
+        """Add the lines of a table with the header `[a.b]` or `[[a.b]]`."""
         header = next(child for child in node.children if child.type.endswith("key"))
         *parents, last = _keys(header)
         path: _Path = ()
         for key in parents:
             path = (*path, key)
             self._lines.setdefault(path, _line_of(node))
-            if path in self._last_elements:  # a table inside the newest element
+            if path in self._last_elements:  # the table is part of the last element
                 path = (*path, self._last_elements[path])
         path = (*path, last)
         self._lines.setdefault(path, _line_of(node))
@@ -65,7 +65,7 @@
                 self._add_pair(path, child)
 
     def _add_pair(self, path: _Path, node: Node) -> None:
-        """Add `key = value`, where the key may be dotted."""
+        """Add the lines of `key = value`; the key may be dotted."""
         key_node = node.children[0]
         for key in _keys(key_node):
             path = (*path, key)
@@ -85,7 +85,7 @@
 
 
 def _keys(node: Node) -> list[str]:
-    """The parts of a key. A quoted one is read by tomllib, which knows its escapes."""
+    """Return the parts of a key. A quoted key is decoded by tomllib, which handles escapes."""
     if node.type == "dotted_key":
         parts = [child for child in node.children if child.type.endswith("key")]
         return [key for part in parts for key in _keys(part)]
--- a/lupinladder/operator_config/toml_decoder.py
+++ b/lupinladder/operator_config/toml_decoder.py
@@ -1,7 +1,7 @@
-"""TOML files as typed structs, with the line of each fault.
+"""Decodes TOML files into typed structs and reports errors with their line.
 
-`tomllib` parses and msgspec converts; neither knows where a value stood in the text, so the line of a fault
-is looked up by `source_lines`, and only then.
+`tomllib` parses the text and msgspec converts the result. Neither reports the position of an invalid value,
+so only after an error `source_lines` looks up its line.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from lupinladder.operator_config.source_lines import SourceLines, Step, parse_path
 
 T = TypeVar("T")
-# The text of msgspec's error: "Expected `int`, got `str` - at `$.faults[2].at`".
+# Matches messages of msgspec such as "Expected `int`, got `str` - at `$.faults[2].at`".
 _VALIDATION_ERROR = re.compile(r"^(?P<problem>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.S)
 _UNKNOWN_FIELD = re.compile(r"unknown field `([^`]+)`")
 _LINE_OF_SYNTAX_ERROR = re.compile(r"at line (\d+)")
 
 
 class TomlError(LupinladderError):
-    """A file that cannot be used. The text is one line: file, line, what is wrong.
+    """A TOML file cannot be used. The message is one line: the file, the line and the problem.
 
-    `line` is None for a file that cannot be read at all.
+    `line` is None if the file cannot be read or is not UTF-8.
     """
 
     def __init__(self, message: str, line: int | None = None) -> None:
@@ -35,12 +35,12 @@
 
     @classmethod
     def at_line(cls, name: str, line: int, problem: str) -> TomlError:
-        """The error for a fault in this line of the file of this name."""
+        """Return the error for a problem in this line of the named file."""
         return cls(f"{name}:{line}: {problem}", line)
 
 
 class ConstraintError(LupinladderError, ValueError):
-    """A value of the right type that cannot be used; `path` names it, as in `faults[2].at`."""
+    """A value has the right type but cannot be used; `path` names it, as in `faults[2].at`."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(problem)
@@ -48,9 +48,9 @@
 
 
 def load(path: Path, struct_type: type[T]) -> T:
-    """Read a file into a struct. TomlError for every fault.
+    """Load a file into a struct. Raises TomlError for every error in the file.
 
-    If the struct has a method `check`, it is called, and may raise ConstraintError.
+    If the struct has a method `check`, it is called; a ConstraintError that it raises becomes a TomlError.
     """
     try:
         text = path.read_bytes()
@@ -61,7 +61,7 @@
 
 
 def parse(text: bytes, name: str, struct_type: type[T]) -> T:
-    """Read the text of the file of this name into a struct, as `load` does."""
+    """Parse the text of the named file into a struct, as `load` does."""
     tree = _parse_toml(text, name)
     try:
         loaded = msgspec.convert(tree, struct_type)
@@ -86,12 +86,12 @@
         located = _LINE_OF_SYNTAX_ERROR.search(str(error))
         line = (
             int(located[1]) if located else len(text.splitlines()) or 1
-        )  # an error without one is at the end
+        )  # an error without a line number is at the end of the text
         raise TomlError.at_line(name, line, f"not TOML: {error}") from None
 
 
 def _locate_validation_error(text: bytes, name: str, message: str) -> TomlError:
-    """The error for a message of msgspec, which names the path of the value."""
+    """Return the error for a message of msgspec, which contains the path of the invalid value."""
     parts = _VALIDATION_ERROR.match(message)
     assert parts  # the pattern matches every text
     path = parse_path(parts["path"] or "")
@@ -103,5 +103,5 @@
 
 
 def _format_path(path: list[Step]) -> str:
-    """The path as in `faults[2].at`."""
+    """Return the path as text such as `faults[2].at`."""
     return "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in path).lstrip(".")
--- a/lupinladder/recovery/__init__.py
+++ b/lupinladder/recovery/__init__.py
@@ -1,6 +1,6 @@
-"""What a proxy does with its stored state when it starts. Free of I/O. See docs/recovery.md.
+"""Decides which state is stored and how stored state is used at startup. Free of I/O. See docs/recovery.md.
 
-- `freshness`: what a record of some age and source may be used for
-- `warm_start`: what the balancer receives at the start, from the configuration's list and the stored state
-- `change_tracker`: which of the proxy's limits have changed enough to be stored again
+- `freshness`: what a record may be used for, by its age and source
+- `warm_start`: the balancer's initial list and restored state, from the configuration and the store
+- `change_tracker`: which limits have changed enough to be stored again
 """
--- a/lupinladder/recovery/change_tracker.py
+++ b/lupinladder/recovery/change_tracker.py
@@ -1,4 +1,4 @@
-"""Which of the proxy's limits have changed enough to be stored again. Free of I/O."""
+"""Selects the limits that have changed enough to be stored again. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,23 @@
 
 from lupinladder.store.records import LimitRecord, SlotLoadRecord
 
-MIN_RELATIVE_CHANGE = 0.1  # of a figure, from which on a limit is stored again
-MAX_RECORD_AGE_MS = 5_000.0  # after which an unchanged limit is stored again, so that its age stays true
-MAX_STORED_SLOTS = 8  # those with the highest load
-SMALLEST_BASE = 1e-9  # in place of a figure of zero, to compare with
+MIN_RELATIVE_CHANGE = 0.1  # a limit is stored again if one of its values has changed by more than this share
+MAX_RECORD_AGE_MS = 5_000.0  # an unchanged limit is then stored again, so that its stored age stays correct
+MAX_STORED_SLOTS = 8  # number of slots with the highest load that are stored
+SMALLEST_BASE = 1e-9  # minimum base of a relative change, for stored values of zero
 
 
 class ChangeTracker:
-    """Remembers what was stored of each server, so that little is written."""
+    """Remembers the last stored limit of each server, so that small changes are not written."""
 
     def __init__(self) -> None:
         self._stored: dict[str, LimitRecord] = {}  # by server
 
     def changed_limits(self, current: Iterable[LimitRecord]) -> list[LimitRecord]:
-        """Return the limits that are worth storing now. `current` holds all; other servers are forgotten."""
+        """Return the limits that should be stored now.
+
+        `current` contains the limits of all servers; any other server is forgotten.
+        """
         changed = list[LimitRecord]()
         listed = set[str]()
         for limit in current:
--- a/lupinladder/recovery/freshness.py
+++ b/lupinladder/recovery/freshness.py
@@ -1,8 +1,8 @@
-"""What a record may be used for, by its source, its age, and the time since when its server runs.
+"""Decides what a record may be used for, by its source, its age and the start time of its server.
 
-One pure function, `usable_as`, over one table, `AGE_LIMITS`. The limits are not estimates of what is likely:
-each follows from how long the recorded thing stays as it was, which the settings name or which was measured
-(docs/recovery.md has the table in words and the reason for each).
+The decision is made by the pure function `usable_as` with the table `AGE_LIMITS`. The age limits are not
+estimates: each follows from how long the recorded state stays valid, which is given by the settings or was
+measured (docs/recovery.md explains the table and the reason for each limit).
 
 All times are Unix time in milliseconds.
 """
@@ -17,20 +17,20 @@
 MINUTE_MS = 60_000.0
 HOUR_MS = 3_600_000.0
 DAY_MS = 24 * HOUR_MS
-MAX_CLOCK_SKEW_MS = 1_000.0  # by which a clock may run ahead of the one that wrote a record
+MAX_CLOCK_SKEW_MS = 1_000.0  # records up to this far in the future count as new
 
 
 class Usability(IntEnum):
     """What a record may be used for; a higher value includes the lower ones."""
 
     NONE = 0
-    PROBE = 1  # one send at a time, until it is answered well
-    PARTIAL = 2  # a half of what it states, growing by what is observed
+    PROBE = 1  # one attempt at a time until one succeeds
+    PARTIAL = 2  # half of the recorded value, adjusted by later measurements
     FULL = 3
 
     @property
     def label(self) -> str:
-        """The term in reports and in docs/recovery.md."""
+        """The term used in reports and in docs/recovery.md."""
         return USABILITY_LABELS[self]
 
 
@@ -43,49 +43,51 @@
 
 
 class Source(IntEnum):
-    """Where a record comes from. Of two of equal age the one with the higher value takes precedence."""
+    """The source of a record. Of two records of equal age, that with the higher source takes precedence."""
 
-    STORE = 0  # this proxy, before it stopped
-    PEER = 1  # another proxy, which may differ in its measurements or be misinformed
-    CONFIG = 2  # the platform's file: the list as this proxy last had it
+    STORE = 0  # this proxy's own store
+    PEER = 1  # another proxy, whose measurements may differ or be wrong
+    CONFIG = 2  # the platform's configuration file, which contains this proxy's last known list
     DISCOVERY = 3
 
 
 class RecordType(IntEnum):
-    """What a record is about."""
+    """What a record is about. These values are not stored, unlike the type numbers of `store.records`."""
 
-    MEMBER = 0  # that a server is listed, and where it is
-    LIMIT = 1  # what a server could handle
-    HEALTH = 2  # that a server failed
-    SLOT = 3  # that a slot had a high load
-    ORIGIN = 4  # what the origin could handle
+    MEMBER = 0  # a server is listed with an address
+    LIMIT = 1  # load that a server could handle
+    HEALTH = 2  # a server was failing
+    SLOT = 3  # a slot had a high load
+    ORIGIN = 4  # load that the origin could handle
 
 
 class AgeLimits(NamedTuple):
-    """Up to which age (ms) a record may be used in full, in part, as a probe; an older one is not used."""
+    """The maximum age in ms for each use of a record. A record older than `probe` is not used."""
 
     full: float
     partial: float
     probe: float
 
 
-# A record is good in full while the recorded thing cannot have changed without a message to this proxy, in
-# part while it has probably changed a little, as a probe while a probe costs less than to know nothing.
+# A record is used in full while its content cannot have changed without a message to this proxy, in part
+# while it has probably changed only a little, and for a probe while a probe costs less than having no
+# information.
 AGE_LIMITS: dict[RecordType, AgeLimits] = {
-    # Discovery's updates count as delivered 6 s later. Servers come and go within minutes in a deploy, and a
-    # list of some hours names enough that live to be worth one connection each; after a week it names none.
+    # Discovery's updates count as delivered after 6 s. During a deploy, servers are added and removed within
+    # minutes. A list that is some hours old still names enough running servers to be worth one connection to
+    # each; after a week it names none.
     RecordType.MEMBER: AgeLimits(full=6 * SECOND_MS, partial=10 * MINUTE_MS, probe=7 * DAY_MS),
-    # Limits are set anew by each window of some ten seconds, and the load of a time of day holds for minutes.
-    # What a server could handle yesterday shows only that a probe does no harm.
+    # Limits are updated by each sample window of about ten seconds, and the load at a time of day stays
+    # similar for minutes. The load that a server could handle yesterday shows only that a probe does no harm.
     RecordType.LIMIT: AgeLimits(full=30 * SECOND_MS, partial=15 * MINUTE_MS, probe=DAY_MS),
-    # An ejection lasts at most sixteen latency objectives; a record of it is of no more use by then.
+    # An ejection lasts at most 16 latency objectives; a record of it is useless after that.
     RecordType.HEALTH: AgeLimits(full=5 * SECOND_MS, partial=5 * SECOND_MS, probe=10 * MINUTE_MS),
-    # Keys have a high load for five to twenty seconds.
+    # A key has a high load for 5 to 20 seconds.
     RecordType.SLOT: AgeLimits(full=5 * SECOND_MS, partial=20 * SECOND_MS, probe=20 * SECOND_MS),
-    # The origin is one server that stays for months; what it can handle changes with what it is asked for.
+    # The origin is one server that runs for months; the load that it can handle depends on the requests.
     RecordType.ORIGIN: AgeLimits(full=30 * SECOND_MS, partial=15 * MINUTE_MS, probe=DAY_MS),
 }
-SOURCE_LIMITS: dict[Source, Usability] = {  # the most that a record of this source may be used for
+SOURCE_LIMITS: dict[Source, Usability] = {  # highest usability of records of each source
     Source.STORE: Usability.FULL,
     Source.PEER: Usability.PROBE,
     Source.CONFIG: Usability.FULL,
@@ -102,9 +104,10 @@
 ) -> Usability:
     """Return what a record may be used for at `now`.
 
-    `server_started_at` is when the record's server last started, 0 for long ago. A limit or a failure from
-    before that start is of another process, and is not used. A record from the future was written by a clock
-    that has jumped: its age is unknown, so it is good for a probe at most, whatever its source.
+    `server_started_at` is the last start of the record's server, 0 if it was long ago. A limit or a failure
+    that was recorded before that start belongs to an earlier process and is not used. If a record is from the
+    future, a clock has jumped: the record's age is unknown, so it may be used for a probe at most, whatever
+    its source.
     """
     if record_type in (RecordType.LIMIT, RecordType.HEALTH) and recorded_at < server_started_at:
         return Usability.NONE
@@ -115,16 +118,16 @@
 
 
 def supersedes(index: int, generation: int, known_index: int, known_generation: int) -> bool:
-    """Whether one list takes precedence over another that is known.
+    """Whether a list takes precedence over a known one.
 
-    An older index never overrides a newer one of the same generation. A generation begins when discovery
-    itself began anew, with a whole list.
+    An older index never overrides a newer one of the same generation. A new generation starts when discovery
+    restarts with a full list.
     """
     return (generation, index) >= (known_generation, known_index)
 
 
 def format_age(age_ms: float) -> str:
-    """Return an age as people read it."""
+    """Format an age for display."""
     if age_ms < 0:
         return "in the future"
     for unit_ms, unit in ((DAY_MS, "d"), (HOUR_MS, "h"), (MINUTE_MS, "min"), (SECOND_MS, "s")):
--- a/lupinladder/recovery/warm_start.py
+++ b/lupinladder/recovery/warm_start.py
@@ -1,7 +1,7 @@
-"""What the balancer receives at the start, from the configuration's list and the stored state. Free of I/O.
+"""Plans the balancer's initial state from the configured endpoint list and the stored state. Free of I/O.
 
-Two questions are answered, both by `freshness`: which list to begin with, and how much of what was learned of
-each server still holds.
+The module decides, by the rules of `freshness`, which list to start with and how much of the stored state of
+each server may still be used.
 """
 
 from __future__ import annotations
@@ -14,43 +14,43 @@
 from lupinladder.recovery.freshness import RecordType, Source, Usability, supersedes, usable_as
 from lupinladder.store.records import EndpointListRecord, LimitRecord, SlotLoadRecord, StoredState
 
-MAX_FAILURE_RATE = 0.5  # share of failed attempts above which a server is ejected, as in the balancer
+MAX_FAILURE_RATE = 0.5  # a server with a higher share of failed attempts is ejected, as in the balancer
 RESTORE_MODES = {
     Usability.PROBE: RestoreMode.PROBE,
     Usability.PARTIAL: RestoreMode.PARTIAL,
     Usability.FULL: RestoreMode.FULL,
 }
-SLOT_LOAD_SHARES = {Usability.PARTIAL: 0.5, Usability.FULL: 1.0}  # share of a slot's load that is restored
+SLOT_LOAD_SHARES = {Usability.PARTIAL: 0.5, Usability.FULL: 1.0}  # restored share of a slot's load
 
 
 @dataclass(slots=True)
 class InitialEndpointList:
-    """The list that a proxy begins with."""
+    """The endpoint list that a proxy starts with."""
 
-    tree: dict[str, Any]  # in discovery's form
+    tree: dict[str, Any]  # the list in discovery's format
     generation: int
     source: Source
 
 
 @dataclass(slots=True)
 class WarmStart:
-    """How a proxy begins."""
+    """The state that a proxy starts with."""
 
-    known: dict[str, Any]  # the list, in discovery's form
+    known: dict[str, Any]  # the endpoint list in discovery's format
     generation: int
     source: Source  # of the list
-    events: list[Event] = field(default_factory=list)  # for the balancer, after the list
-    limits_restored: dict[Usability, int] = field(default_factory=dict)  # servers by the use of their limits
-    stored_age: float | None = None  # of the newest stored record, ms; None if nothing is stored
+    events: list[Event] = field(default_factory=list)  # given to the balancer after the list
+    limits_restored: dict[Usability, int] = field(default_factory=dict)  # number of servers by usability
+    stored_age: float | None = None  # age of the newest stored record in ms; None if nothing is stored
 
 
 def plan_warm_start(
     config: dict[str, Any], state: StoredState | None, now: float, origin_type: str
 ) -> WarmStart:
-    """Return what to begin with.
+    """Return the state to start with.
 
-    `config` is the list of the platform's file, `now` Unix time in ms, `origin_type` the listed type of the
-    origin.
+    `config` is the configured endpoint list, `now` is Unix time in ms, and `origin_type` is the type that
+    the origin has in the list.
     """
     if state is None:
         return WarmStart(config, 0, Source.CONFIG)
@@ -60,7 +60,7 @@
     list_usability = _list_usability(initial.source, state, now)
     for endpoint in initial.tree.get("endpoints", ()):
         if not isinstance(endpoint, dict) or not isinstance(endpoint.get("name"), str):
-            continue  # the list's parser reports it
+            continue  # reported by the parser of the list
         is_origin = endpoint.get("type") == origin_type
         limit = _assess_limit(state.limits.get(endpoint["name"]), _started_at(endpoint), now, is_origin)
         if initial.source is Source.STORE and not is_origin:
@@ -75,10 +75,10 @@
 def choose_endpoint_list(
     config: dict[str, Any], stored: EndpointListRecord | None, now: float
 ) -> InitialEndpointList:
-    """Return the list to begin with.
+    """Return the endpoint list to start with.
 
-    The stored one is chosen only if it is no older than the configuration's and its age still allows a probe;
-    it then counts as a whole list.
+    The stored list is chosen only if it is not older than the configured one and its age still allows a
+    probe; it is then used as a snapshot.
     """
     if stored is None:
         return InitialEndpointList(config, 0, Source.CONFIG)
@@ -88,32 +88,32 @@
     if usability and supersedes(stored.index, 0, index if is_numbered else 0, 0):
         tree = {"index": stored.index, "snapshot": True, "endpoints": stored.endpoints}
         return InitialEndpointList(tree, stored.generation, Source.STORE)
-    # A list with a lower index than a stored one that is too old to be used begins a generation, else it
-    # would never replace the old one in the store.
+    # If the stored list is too old to be used but has a higher index than the configured list, a new
+    # generation starts; otherwise the configured list would never replace the stored one in the store.
     begins_generation = is_numbered and index < stored.index
     return InitialEndpointList(config, stored.generation + begins_generation, Source.CONFIG)
 
 
 @dataclass(slots=True)
 class _AssessedLimit:
-    """What may be done with the stored limit of one listed server."""
+    """The usability of the stored limit of one listed server."""
 
     usability: Usability
-    record: LimitRecord | None = None  # None unless its figures may be used
-    failure_rate: float = 0.0  # 0 unless it may still hold
+    record: LimitRecord | None = None  # None unless its values may be used
+    failure_rate: float = 0.0  # 0 unless it may still be valid
 
 
 def _assess_limit(
     record: LimitRecord | None, server_started_at: float, now: float, is_origin: bool
 ) -> _AssessedLimit:
-    """Assess a stored limit for a server whose start is listed as `server_started_at` (ms)."""
+    """Assess a stored limit; `server_started_at` is the start time of its server in the list, in ms."""
     if record is None or record.server_started_at != server_started_at:
-        return _AssessedLimit(Usability.NONE)  # unknown, or another process under the same name
+        return _AssessedLimit(Usability.NONE)  # no limit is stored, or it is of an earlier process
     record_type = RecordType.ORIGIN if is_origin else RecordType.LIMIT
     usability = usable_as(record_type, Source.STORE, record.at, now, server_started_at)
     health = usable_as(RecordType.HEALTH, Source.STORE, record.at, now, server_started_at)
     if health and record.failure_rate > MAX_FAILURE_RATE and not is_origin:
-        usability = min(usability, Usability.PROBE)  # it was failing, whatever it could handle before
+        usability = min(usability, Usability.PROBE)  # it was failing, so its earlier limit doesn't matter
     return _AssessedLimit(
         usability,
         record if usability > Usability.PROBE else None,
@@ -122,10 +122,10 @@
 
 
 def _cap_by_list(usability: Usability, list_usability: Usability) -> Usability:
-    """The use of a server's limit, given that of the stored list that names the server.
+    """Return the usability of a server's limit, given that of the stored list that contains the server.
 
-    A list that is only good for a probe allows no more of any server on it, and a probe also of a server
-    whose limit is unknown. The origin is exempt: there is one, and its address doesn't change.
+    If the list may be used for a probe only, this applies to every server on it, including servers without a
+    stored limit. The caller exempts the origin, because there is only one and its address doesn't change.
     """
     if list_usability >= Usability.PARTIAL:
         return usability
@@ -144,7 +144,7 @@
 
 
 def _restore_slot_load(plan: WarmStart, record: SlotLoadRecord, now: float) -> None:
-    """Add the event that restores the load of slots, as far as it is fresh enough."""
+    """Add the event that restores the load of slots, unless its record is too old."""
     usability = usable_as(RecordType.SLOT, Source.STORE, record.at, now)
     share = SLOT_LOAD_SHARES.get(usability)
     if share is not None:
@@ -153,14 +153,14 @@
 
 
 def _list_usability(source: Source, state: StoredState, now: float) -> Usability:
-    """What a list of this source may be used for, by the age of the stored one."""
+    """Return what a list of this source may be used for, by the age of the stored list."""
     if state.endpoint_list is None:
         return Usability.NONE
     return usable_as(RecordType.MEMBER, source, state.endpoint_list.at, now)
 
 
 def _newest_age(state: StoredState, now: float) -> float | None:
-    """The age of the newest stored record in ms."""
+    """Return the age of the newest stored record in ms, or None if there is no record."""
     dated: list[EndpointListRecord | SlotLoadRecord | LimitRecord] = [*state.limits.values()]
     if state.endpoint_list:
         dated.append(state.endpoint_list)
@@ -170,7 +170,7 @@
 
 
 def _started_at(endpoint: Mapping[str, Any]) -> float:
-    """When the listed server started, Unix time in ms; 0 if the list doesn't say."""
+    """Return the start time of a listed server as Unix time in ms, or 0 if the list doesn't contain it."""
     started_at = endpoint.get("since_ms", 0)
     is_number = isinstance(started_at, int | float) and not isinstance(started_at, bool)
     return float(started_at) if is_number else 0.0
--- a/lupinladder/store/file_store.py
+++ b/lupinladder/store/file_store.py
@@ -1,8 +1,8 @@
-"""One proxy's store in a file: one process a file, atomic replacement, bounded size and rate of writing.
+"""One proxy's store in a file: one process per file, atomic replacement, bounded size and write rate.
 
-All access goes through `FileSystem`, so that a test can end the process, or fill the disk, at any single
-step. A `Store` is used by one thread at a time; `net/state_persister.py` gives it one of its own, so that
-nothing that serves requests ever waits for a disk.
+All access goes through `FileSystem`, so that a test can simulate the end of the process or a full disk at any
+single call. A `Store` is used by one thread at a time; `net/state_persister.py` runs it in a dedicated
+thread, so that the event loop never waits for the disk.
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 from lupinladder.store.records import EndpointListConfirmation, StoredRecord, StoredState, StoreOwner
 from lupinladder.store.write_budget import WriteBudget
 
-MAX_PEEK_BYTES = 64 << 20  # read of a file whose limit is not known
-MAX_APPENDED_BYTES = 1 << 16  # of records beyond twice a snapshot before the file is written anew
-MAX_STARTS = 8  # starts remembered, which shows a crash loop
-# A folder that fails so may do better a while later; others need a person.
+MAX_PEEK_BYTES = 64 << 20  # maximum read from a file whose size limit is not known
+# The file is rewritten as a snapshot when it is this much larger than twice the previous snapshot.
+MAX_APPENDED_BYTES = 1 << 16
+MAX_STARTS = 8  # number of process starts remembered, enough to show a crash loop
+# Errors that may go away by themselves; any other error needs the operator to act.
 UNAVAILABLE_ERRORS = frozenset(
     {errno.ENOSPC, errno.EDQUOT, errno.EIO, errno.EROFS, errno.ENFILE, errno.EMFILE, errno.ENOMEM}
 )
-NOT_OPEN = -1  # in place of a descriptor
+NOT_OPEN = -1  # stands for a missing descriptor
 
 
 class StoreError(LupinladderError):
-    """A store that cannot be used. The text is one line: which file, what is wrong, what to do about it."""
+    """A store cannot be used. The message is one line: the file, the problem, and advice if there is any."""
 
     def __init__(self, path: Path, problem: str, advice: str = "") -> None:
         super().__init__(f"{path}: {problem}; {advice}" if advice else f"{path}: {problem}")
@@ -40,7 +41,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The folder takes no file just now: the disk is full or fails."""
+    """The store cannot be opened for now: the disk is full or failing, or the system lacks resources."""
 
 
 class StoreNotFoundError(StoreError):
@@ -51,15 +52,15 @@
 
 
 class StoreLimits(msgspec.Struct):
-    """How much may be kept and written."""
+    """Limits on the file's size and on writing."""
 
-    bytes: int = 4 << 20  # of the file
-    bytes_per_s: float = 64_000.0  # written, in the mean of some seconds
-    sync: bool = True  # each flush reaches the disk before the next
+    bytes: int = 4 << 20  # maximum size of the file
+    bytes_per_s: float = 64_000.0  # maximum mean write rate over a few seconds
+    sync: bool = True  # whether each flush is synced to disk before it returns
 
 
 class EventReporter(Protocol):
-    """Takes what an operator should know, as `log_event` does: the name of an event and its facts."""
+    """Reports an event and its fields to the operator, as `log_event` does."""
 
     def __call__(self, event: str, /, **facts: object) -> None:
         """Report one event."""
@@ -68,19 +69,22 @@
 def peek(
     path: Path, file_system: FileSystem | None = None, max_bytes: int = MAX_PEEK_BYTES
 ) -> record_log.ScanResult:
-    """Return what a file holds, without locking or changing it. StoreError if it cannot be read."""
+    """Scan a file without locking or changing it. Raises StoreError if it cannot be read."""
     try:
         data = (file_system or FileSystem()).read(path, max_bytes)
     except FileNotFoundError:
         raise StoreNotFoundError(path) from None
     except OSError as error:
-        raise StoreError(path, str(error.strerror), "check who may read it") from None
+        raise StoreError(path, str(error.strerror), "check its permissions") from None
     return record_log.scan(data)
 
 
 class Store:
-    """One proxy's store. `loaded` is the state that the file held when the store was opened, None if it could
-    not be used; it goes on as `state`, what is kept now."""
+    """One proxy's store.
+
+    `loaded` is the state read from the file when the store was opened, or None if there was no usable state.
+    `state` is the current state; it starts as `loaded` if there is one, and is then the same object.
+    """
 
     def __init__(
         self,
@@ -91,10 +95,10 @@
         limits: StoreLimits | None = None,
         file_system: FileSystem | None = None,
     ) -> None:
-        """Open the store, or begin one. StoreError if another process holds it.
+        """Open or create the store. Raises StoreError if another process has locked it.
 
-        Of a damaged file the valid part is used. A file of another proxy, of another deployment or of a newer
-        program is not used but renamed, for people to look at.
+        The valid prefix of a damaged file is used. A file of another proxy, of another deployment or of a
+        newer program version is not used; it is renamed so that the operator can inspect it.
         """
         self._path = path
         self._new_path = path.with_name(path.name + ".new")
@@ -102,35 +106,36 @@
         self._limits = limits or StoreLimits()
         self._file_system = file_system or FileSystem()
         self._budget = WriteBudget(self._limits.bytes_per_s, now)
-        self._pending: dict[tuple[int, str], StoredRecord] = {}  # the latest of each key, not yet written
+        self._pending: dict[tuple[int, str], StoredRecord] = {}  # latest unwritten record of each key
         self._file = NOT_OPEN
-        self._file_is_whole = False  # else it is written anew before anything is appended
+        self._file_is_whole = False  # if False, the file is rewritten before the next append
         self._file_size = 0
-        self._snapshot_size = 0  # of the file when it was last written anew
-        self._last_number = 0  # of the records written so far
-        self._error: tuple[str, dict[str, object]] | None = None  # the event of an error that persists
+        self._snapshot_size = 0  # size of the file after its last rewrite
+        self._last_number = 0  # sequence number of the last record
+        self._error: tuple[str, dict[str, object]] | None = None  # event and fields of the last error
         self._lock = self._acquire_lock()
         self.loaded = self._load(owner)
-        self.starts = self.loaded.owner.starts if self.loaded else []  # of earlier processes that used it
+        self.starts = self.loaded.owner.starts if self.loaded else []  # of earlier processes
         self.state = self.loaded or StoredState(owner)
         self.state.owner = StoreOwner(owner.proxy, owner.deployment, [*self.starts, now][-MAX_STARTS:])
         self._rewrite()
 
     def put(self, record: StoredRecord) -> None:
-        """Keep this record, which is written by a later flush."""
+        """Apply this record to the state and queue it for the next flush."""
         if isinstance(record, EndpointListConfirmation) and not self.state.confirms_list(record):
             return
         self.state.apply(record)
         self._pending[records.RECORD_NUMBERS[type(record)], record.key] = record
 
     def flush(self, now: float) -> int:
-        """Write the records that wait, as far as the rate allows, and return the number of bytes written.
+        """Write pending records, as far as the write budget allows, and return the number of bytes written.
 
-        What doesn't fit goes on waiting. Only the latest record of each key waits, so the number of servers
-        bounds how many do.
+        The other records stay pending. Only the latest record of each key is pending, so the number of
+        servers bounds the number of pending records.
         """
         self._budget.refill(now)
-        has_work = self._pending or not self._file_is_whole  # what a failed write held is owed still
+        # After a failed write the file must be rewritten even if no record is pending.
+        has_work = self._pending or not self._file_is_whole
         if not has_work or self._budget.is_exhausted:
             return 0
         if not self._file_is_whole or self._file_size > 2 * self._snapshot_size + MAX_APPENDED_BYTES:
@@ -138,7 +143,7 @@
         return self._append(self._encode_pending())
 
     def close(self, now: float) -> None:
-        """Write what waits, up to the largest burst of the rate, and release the lock."""
+        """Write pending records, up to the maximum burst of the write budget, and release the lock."""
         self._budget.grant(self._limits.bytes, now)
         self.flush(now)
         former_file = self._file
@@ -147,8 +152,11 @@
         self._file_system.close(self._lock)
 
     def _close_file(self, descriptor: int) -> None:
-        """Close a descriptor that may be none. Its number is free afterwards, also when close(2) fails: what
-        it held is in the file that has taken its place, or is written anew."""
+        """Close a descriptor unless it is NOT_OPEN, and report an error of close(2).
+
+        The descriptor is released even if close(2) fails, so it is never closed twice. No data is lost: the
+        records are in the file that has replaced this one, or will be written again.
+        """
         if descriptor == NOT_OPEN:
             return
         try:
@@ -169,7 +177,7 @@
             raise StoreError(self._path, str(error.strerror), advice) from None
 
     def _load(self, owner: StoreOwner) -> StoredState | None:
-        """Return the state in the file, None if it has none that this proxy may use."""
+        """Return the state in the file, or None if the file has no state that this proxy may use."""
         try:
             scan = peek(self._path, self._file_system, self._limits.bytes)
         except StoreNotFoundError:
@@ -198,13 +206,14 @@
         return state
 
     def _quarantine(self) -> None:
-        """Rename a file that cannot be used. There is one such name, so that unused files don't pile up."""
+        """Rename a file that cannot be used. The new name is fixed, so that such files don't accumulate."""
         unused_path = self._path.with_name(self._path.name + ".unused")
-        with contextlib.suppress(OSError):  # the file will be replaced, or the disk takes nothing at all
+        # If renaming fails, either the file is replaced by the new store or every later write fails as well.
+        with contextlib.suppress(OSError):
             self._file_system.replace(self._path, unused_path)
 
     def _encode_pending(self) -> bytes:
-        """Take the records that wait, oldest key first, until the budget is used up, and end the flush."""
+        """Remove and encode pending records as a flush, oldest key first, as far as the budget allows."""
         parts = list[bytes]()
         size = 0
         for key in list(self._pending):
@@ -217,7 +226,7 @@
         return b"".join(parts)
 
     def _encode_snapshot(self) -> bytes:
-        """The whole state as the content of a new file."""
+        """Return the whole state encoded as the content of a new file."""
         self._last_number += 1
         parts = [record_log.begin(self._last_number, msgspec.to_builtins(self.state.owner))]
         parts += [self._encode(record) for record in self.state.all()]
@@ -225,7 +234,10 @@
         return b"".join(parts)
 
     def _encode(self, record: StoredRecord) -> bytes:
-        """The record under the next number; nothing, and no number, if it is too large."""
+        """Encode a record with the next sequence number.
+
+        A record that is too large is reported and skipped: the result is empty, and no number is used.
+        """
         try:
             data = records.encode(self._last_number + 1, record)
         except record_log.RecordTooLargeError as error:
@@ -239,7 +251,7 @@
         return record_log.end(self._last_number)
 
     def _append(self, data: bytes) -> int:
-        """Write behind the file's end, or the file anew if it would grow too large."""
+        """Append the data, or rewrite the file if it would exceed its maximum size."""
         if self._file_size + len(data) > self._limits.bytes:
             return self._rewrite()
         try:
@@ -255,7 +267,7 @@
         return len(data)
 
     def _rewrite(self) -> int:
-        """Write the whole state to a new file, which takes the place of the old one in one step."""
+        """Write the whole state to a new file that atomically replaces the old one."""
         self.state.prune()
         data = self._encode_snapshot()
         self._budget.spend(len(data))
@@ -279,7 +291,7 @@
         return len(data)
 
     def _replace_file(self, data: bytes) -> int:
-        """Return the descriptor of a new file with this content in the place of the old one."""
+        """Replace the store's file by a new one with this content, and return the new file's descriptor."""
         descriptor = self._file_system.create(self._new_path)
         try:
             self._file_system.write(descriptor, data)
@@ -294,12 +306,12 @@
         return descriptor
 
     def _on_write_failed(self, error: OSError) -> None:
-        """Go on without writing. A part of the data may be in the file, so nothing may be appended to it."""
+        """Report a failed write. Part of the data may be in the file, so the next write must rewrite it."""
         self._file_is_whole = False
         self._set_error("store_write_failed", path=self._path, error=error.strerror)
 
     def _set_error(self, event: str, **facts: object) -> None:
-        """Report an error once, not at each flush until it is over."""
+        """Report an error unless it is the same as the last one, so that it is not repeated at each flush."""
         if (event, facts) != self._error:
             self._report(event, **facts)
         self._error = (event, facts)
--- a/lupinladder/store/file_system.py
+++ b/lupinladder/store/file_system.py
@@ -1,4 +1,4 @@
-"""The steps that a store takes on the file system, each a method, so that a test can make it fail."""
+"""The file system calls of a store, each in a method of its own, so that tests can make any of them fail."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import os
 from pathlib import Path
 
-OWNER_ONLY = 0o600  # permissions of the files that are created
+OWNER_ONLY = 0o600  # permissions of created files
 
 
 class FileSystem:
-    """Files by path and descriptor. All methods raise OSError if the file system refuses."""
+    """Operations on files by path and descriptor. All methods raise OSError on failure."""
 
     def lock(self, path: Path) -> int:
-        """Return a descriptor that holds the lock on this file. BlockingIOError if another process has it."""
+        """Lock this file and return its descriptor. Raises BlockingIOError if it is locked already."""
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -23,32 +23,32 @@
         return descriptor
 
     def read(self, path: Path, max_bytes: int) -> bytes:
-        """Return the file's content, at most its first `max_bytes`."""
+        """Return the first `max_bytes` of the file."""
         with path.open("rb") as file:
             return file.read(max_bytes)
 
     def create(self, path: Path) -> int:
-        """Return the descriptor of an empty file, open for appending; what the file held is lost."""
+        """Create or truncate a file and return its descriptor, open for appending."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
         return os.open(path, flags, OWNER_ONLY)
 
     def write(self, descriptor: int, data: bytes) -> None:
-        """Write all of the data. After an OSError any part of it may have been written."""
+        """Write all of the data. If it raises OSError, part of the data may have been written."""
         remaining = memoryview(data)
         while remaining:
             written = os.write(descriptor, remaining)
             remaining = remaining[written:]
 
     def sync(self, descriptor: int) -> None:
-        """Return when the file's content has reached the disk."""
+        """Sync the file's content to disk."""
         os.fsync(descriptor)
 
     def replace(self, source: Path, target: Path) -> None:
-        """Rename a file; a file that has the target's name is replaced in one step."""
+        """Rename a file; a file at the target path is replaced atomically."""
         source.replace(target)
 
     def sync_folder(self, path: Path) -> None:
-        """Return when the folder's entries have reached the disk, as a renamed file needs."""
+        """Sync the folder's entries to disk, without which a rename may not survive a crash."""
         descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -56,5 +56,5 @@
             os.close(descriptor)
 
     def close(self, descriptor: int) -> None:
-        """Close the descriptor; a lock that it holds is released."""
+        """Close the descriptor and release its lock, if it has one."""
         os.close(descriptor)
--- a/lupinladder/store/record_log.py
+++ b/lupinladder/store/record_log.py
@@ -1,10 +1,11 @@
 """The format of the store's file: checksummed records in sequence. Free of I/O.
 
-A file is MAGIC, then records. Each record is a header of 17 bytes (little endian: u32 length of the body, u32
-CRC-32 of the rest of the header and the body, u64 number, u8 record type) and a body in MessagePack. Numbers
-count up by one from wherever the file begins, so a record of an older file that stands behind the end of a
-newer one, or a duplicated piece, is no valid next record. Reading stops at the first record that is not whole
-and valid, and everything behind it is ignored: a later record may depend on the damaged one.
+A file consists of MAGIC and a sequence of records. Each record has a header of 17 bytes (little endian: u32
+length of the body, u32 CRC-32 of the rest of the header and the body, u64 sequence number, u8 record type)
+and a body in MessagePack. Sequence numbers increase by one from the first record of the file, so neither a
+record of an older file after the end of a newer one nor a duplicated block is accepted as the next record.
+Reading stops at the first truncated or invalid record and ignores everything after it, because later records
+may depend on the damaged one.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from lupinladder.errors import LupinladderError
 
 MAGIC = b"LLSTORE\n"
-MAX_BODY_BYTES = 1 << 20  # a list of 4,000 servers takes some 400 KB
-VERSION = 1  # of the records' content; a file states its own in its first record
+MAX_BODY_BYTES = 1 << 20  # a list of 4,000 servers takes about 400 KB
+VERSION = 1  # version of the records' content, which is stored in a file's first record
 BEGIN = 0  # type of a file's first record
-END = 255  # type of the record that ends a flush; records with none behind them belong to an unfinished flush
+END = 255  # type of the record that ends a flush; a flush without one is incomplete
 
 _HEADER = struct.Struct("<IIQB")
 _BODY_SIZE = struct.Struct("<I")
@@ -31,7 +32,7 @@
 
 Body = dict[str, Any]
 Migration = Callable[[int, Body], Body]
-# MIGRATIONS[N] takes a record type and its body of version N and returns the body of version N + 1.
+# MIGRATIONS[N] converts a body of version N, given its record type and the body, to version N + 1.
 MIGRATIONS: dict[int, Migration] = {}
 
 _encoder = msgspec.msgpack.Encoder()
@@ -39,20 +40,20 @@
 
 
 class RecordTooLargeError(LupinladderError):
-    """A record body of `size` bytes, which is more than MAX_BODY_BYTES."""
+    """The body of a record has `size` bytes, more than MAX_BODY_BYTES."""
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"a record of {size} bytes; at most {MAX_BODY_BYTES} are kept")
+        super().__init__(f"record body of {size} bytes exceeds the maximum of {MAX_BODY_BYTES}")
         self.size = size
 
 
 class InvalidRecordError(LupinladderError):
-    """A record in a file that is not whole and valid; the text says what is wrong with it."""
+    """A record in a file is truncated or invalid; the message says what is wrong with it."""
 
 
 @dataclass(slots=True)
 class Record:
-    """One record as it stands in a file; `body` is not yet converted to a type of `records`."""
+    """One record of a file; `body` is not yet converted to a type of `records`."""
 
     number: int
     record_type: int
@@ -61,21 +62,21 @@
 
 @dataclass(slots=True)
 class ScanResult:
-    """What a file holds."""
+    """The valid records of a file and the reason why reading stopped."""
 
-    records: list[Record]  # the valid ones, from the file's beginning
-    valid_bytes: int  # bytes up to the end of the last valid record
-    damage: str  # why reading stopped; empty at the end of the file
-    version: int = VERSION  # of the file, before migration
+    records: list[Record]  # valid records from the start of the file
+    valid_bytes: int  # size of the valid prefix of the file
+    damage: str  # why reading stopped; empty if the whole file is valid
+    version: int = VERSION  # version of the file before migration
 
     @classmethod
     def unusable(cls, damage: str) -> ScanResult:
-        """The result for a file of which no record can be used."""
+        """Return the result for a file without any usable record."""
         return cls([], 0, damage)
 
 
 def encode(number: int, record_type: int, body: Body) -> bytes:
-    """Return one record. RecordTooLargeError if its body is over MAX_BODY_BYTES."""
+    """Encode one record. Raises RecordTooLargeError if its body has more than MAX_BODY_BYTES."""
     data = _encoder.encode(body)
     if len(data) > MAX_BODY_BYTES:
         raise RecordTooLargeError(len(data))
@@ -84,17 +85,17 @@
 
 
 def end(number: int) -> bytes:
-    """Return the record that ends a flush: the records before it count only together."""
+    """Encode the record that ends a flush. The records of a flush take effect only if it is present."""
     return encode(number, END, {})
 
 
 def begin(number: int, owner: Body) -> bytes:
-    """Return the start of a file: MAGIC and the first record, which holds the owner and the version."""
+    """Encode the start of a file: MAGIC and the first record, which holds the owner and the version."""
     return MAGIC + encode(number, BEGIN, {**owner, "version": VERSION})
 
 
 def scan(data: bytes) -> ScanResult:
-    """Read a file up to the first record that is not valid."""
+    """Read the content of a file up to the first invalid record."""
     if not data:
         return ScanResult.unusable("it is empty")
     if not data.startswith(MAGIC):
@@ -108,14 +109,14 @@
     except InvalidRecordError as error:
         result.damage = str(error)
     if not result.records:
-        return ScanResult.unusable(result.damage or "it has no beginning")
+        return ScanResult.unusable(result.damage or "it has no records")
     if result.records[0].record_type != BEGIN:
-        return ScanResult.unusable("its first record is not a beginning")
+        return ScanResult.unusable("its first record is not a file header")
     return _migrate(result)
 
 
 class _Header(NamedTuple):
-    """A record's header, in the order of its bytes."""
+    """The header of a record, its fields in stored order."""
 
     body_size: int
     checksum: int
@@ -124,7 +125,7 @@
 
 
 class _RecordReader:
-    """Reads a file's records in order; `offset` is the first byte that is not read yet."""
+    """Reads a file's records in order; `offset` is that of the next unread byte."""
 
     def __init__(self, data: bytes) -> None:
         self.offset = len(MAGIC)
@@ -133,11 +134,11 @@
 
     @property
     def is_at_end(self) -> bool:
-        """Whether the file ends here, behind a whole record."""
+        """Whether all of the file has been read."""
         return self.offset >= len(self._data)
 
     def read(self) -> Record:
-        """Return the next record. InvalidRecordError, and `offset` stays, if it is not whole and valid."""
+        """Return the next record. Raises InvalidRecordError, without moving `offset`, if it is not valid."""
         header = self._read_header()
         body_start = self.offset + _HEADER.size
         body_end = body_start + header.body_size
@@ -153,7 +154,7 @@
 
     def _read_header(self) -> _Header:
         if len(self._data) - self.offset < _HEADER.size:
-            reason = "a record's head is cut short"
+            reason = "a record's header is truncated"
             raise InvalidRecordError(reason)
         return _Header(*_HEADER.unpack_from(self._data, self.offset))
 
@@ -163,12 +164,12 @@
             raise InvalidRecordError(reason)
         previous = self._previous_number
         if previous is not None and header.number != previous + 1:
-            reason = f"record {header.number} stands behind record {previous}"
+            reason = f"record {previous} is followed by record {header.number}"
             raise InvalidRecordError(reason)
 
 
 def _checksum(number: int, record_type: int, body: bytes) -> int:
-    """CRC-32 over everything in a record but the checksum itself."""
+    """Return the CRC-32 of everything in a record except the checksum itself."""
     return zlib.crc32(_BODY_SIZE.pack(len(body)) + _NUMBER_AND_TYPE.pack(number, record_type) + body)
 
 
@@ -176,12 +177,12 @@
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
-        reason = f"record {number} cannot be read: {error}"
+        reason = f"record {number} cannot be decoded: {error}"
         raise InvalidRecordError(reason) from None
 
 
 def _migrate(result: ScanResult) -> ScanResult:
-    """Bring the records' bodies to the form of this version."""
+    """Migrate the records' bodies to the current version."""
     version = result.records[0].body.get("version")
     if not isinstance(version, int) or isinstance(version, bool) or not 1 <= version <= VERSION:
         return ScanResult.unusable(f"it is of version {version!r}; this program reads 1 to {VERSION}")
--- a/lupinladder/store/records.py
+++ b/lupinladder/store/records.py
@@ -1,12 +1,12 @@
-"""The types of record and the state they add up to. Free of I/O.
+"""The record types and the state that is built from them. Free of I/O.
 
-The proxy stores discovery's list, the limit of each server (the origin is one of them: its limit is what it
-has been able to take) and the load of the busiest slots. A later record replaces an earlier one with the same
-key. No value of a client is stored, and of keys only the numbers of the slots they hash to. Times are Unix
-time in ms.
+The proxy stores the endpoint list from discovery, the limit of each server (including the origin, whose limit
+is the load that it could handle) and the load of the busiest slots. A later record replaces an earlier one of
+the same type and key. No client value is stored, and keys are stored only as the numbers of their slots.
+Times are Unix time in ms.
 
-An attribute's name in the file is that of `field(name=...)` where one is given; these names, and the order of
-the attributes, are part of the stored form and don't change within a version.
+An attribute's name in the file is that of `field(name=...)` if it has one. These names and the order of the
+attributes are part of the stored format and must not change within a version.
 """
 
 from __future__ import annotations
@@ -19,66 +19,69 @@
 
 from lupinladder.store import record_log
 
-MAX_LIMITS = 4096  # servers remembered; those that were measured the longest ago are dropped first
+MAX_LIMITS = 4096  # maximum number of stored limits; the least recently stored are dropped first
 
 
 class StoreOwner(msgspec.Struct, forbid_unknown_fields=True):
-    """Whose store it is. A store of another proxy, or of another deployment, is not used."""
+    """The proxy and the deployment that a store belongs to. A store of any other owner is not used."""
 
     proxy: str
-    deployment: str = msgspec.field(name="site")  # a digest of the settings that limits depend on
-    starts: list[float] = []  # when the last few processes that used the store began
+    deployment: str = msgspec.field(name="site")  # digest of the settings that limits depend on
+    starts: list[float] = []  # start times of the last processes that used the store
 
 
 class StoredRecord(msgspec.Struct):
-    """The base of all records. Each type has a number in RECORD_TYPES."""
+    """The base class of all records. Each type has a number in RECORD_TYPES."""
 
     @property
     def key(self) -> str:
-        """What distinguishes records of one type; those with the same key replace each other."""
+        """The key of this record: a later record of the same type and key replaces it."""
         return ""
 
 
 class EndpointListRecord(StoredRecord):
-    """Discovery's list in its own form, and when it was received."""
+    """An endpoint list in discovery's format."""
 
-    index: int
-    at: float
-    generation: int  # counts the lists taken in over all starts
+    index: int  # version that discovery gave the list
+    at: float  # when the list was received
+    generation: int  # increases when discovery restarts and its index starts again
     endpoints: list[dict[str, Any]]
 
 
 class EndpointListConfirmation(StoredRecord):
-    """Discovery still had the list of this index at this time; a list's age counts from the last one."""
+    """States that discovery still had the list of this index at this time.
+
+    A list's age is counted from its last confirmation.
+    """
 
     index: int
     at: float
 
 
 class LimitRecord(StoredRecord):
-    """What is known of one server beyond the current window of its limiter."""
+    """The limit and the failure rate that were measured for one server."""
 
     server: str
     server_started_at: float = msgspec.field(
         name="since"
-    )  # as listed; a limit older than a later start is void
-    at: float  # when it was measured
+    )  # start time in the endpoint list; a limit measured before a later start is not used
+    at: float  # when the limit was measured
     samples: int
     min_latency: float  # ms
-    max_qps: float  # a second
-    slot_share: float = msgspec.field(default=1.0, name="moved")  # share of its slots that load has left it
-    failure_rate: float = msgspec.field(default=0.0, name="failed")  # smoothed share of failed attempts
+    max_qps: float  # requests per second
+    slot_share: float = msgspec.field(default=1.0, name="moved")  # part of its slots that it still handles
+    failure_rate: float = msgspec.field(default=0.0, name="failed")  # EMA of the share of failed attempts
 
     @property
     def key(self) -> str:
-        """The server's name."""
+        """The name of the server: one limit is kept for each."""
         return self.server
 
 
 class SlotLoadRecord(StoredRecord):
-    """This proxy's own sends by slot, those over the mean: the slots that are split or nearly so."""
+    """This proxy's decaying send counts of its busiest slots, which are split over owners or nearly so."""
 
-    at: float
+    at: float  # when the load was recorded
     slot_load: dict[int, float] = msgspec.field(name="heat")
 
 
@@ -92,16 +95,16 @@
 
 
 class StoredState:
-    """The latest record of each key, from the records of a file or from those that the proxy adds."""
+    """The latest record of each key, both of those read from a file and of those that the proxy adds."""
 
     def __init__(self, owner: StoreOwner) -> None:
         self.owner = owner
         self.endpoint_list: EndpointListRecord | None = None
         self.slot_load: SlotLoadRecord | None = None
-        self.limits: dict[str, LimitRecord] = {}  # by server, the one recorded last at the end
+        self.limits: dict[str, LimitRecord] = {}  # by server; the last recorded is last
 
     def apply(self, record: StoredRecord) -> None:
-        """Take in a newer record."""
+        """Apply a newer record to the state."""
         if isinstance(record, EndpointListRecord):
             self._apply_endpoint_list(record)
         elif isinstance(record, EndpointListConfirmation):
@@ -112,11 +115,11 @@
             self.slot_load = record
 
     def confirms_list(self, confirmation: EndpointListConfirmation) -> bool:
-        """Whether the confirmation is of the list that is kept; one of another list says nothing about it."""
+        """Whether the confirmation is for the current list; one for another list is ignored."""
         return self.endpoint_list is not None and self.endpoint_list.index == confirmation.index
 
     def all(self) -> Iterable[StoredRecord]:
-        """Yield records that fold to this state, the limit recorded last at the end."""
+        """Yield the records that rebuild this state, with the last recorded limit at the end."""
         if self.endpoint_list is not None:
             yield self.endpoint_list
         if self.slot_load is not None:
@@ -124,7 +127,7 @@
         yield from self.limits.values()
 
     def prune(self) -> None:
-        """Drop limits of servers that the list doesn't name any more: the state doesn't grow with churn."""
+        """Drop limits of servers that are no longer listed, so that churn doesn't make the state grow."""
         if self.endpoint_list is None:
             return
         listed = {str(endpoint.get("name")) for endpoint in self.endpoint_list.endpoints}
@@ -142,7 +145,7 @@
             self.endpoint_list = msgspec.structs.replace(known, at=max(known.at, record.at))
 
     def _apply_limit(self, record: LimitRecord) -> None:
-        self.limits.pop(record.server, None)  # so that it moves to the end
+        self.limits.pop(record.server, None)  # moves the server to the end
         self.limits[record.server] = record
         while len(self.limits) > MAX_LIMITS:
             oldest = next(iter(self.limits))
@@ -150,22 +153,22 @@
 
 
 def encode(number: int, record: StoredRecord) -> bytes:
-    """Return the bytes of a record. RecordTooLargeError if it has too many."""
+    """Encode a record. Raises RecordTooLargeError if it is too large."""
     body = msgspec.to_builtins(record, str_keys=False)
     return record_log.encode(number, RECORD_NUMBERS[type(record)], body)
 
 
 def fold(scan: record_log.ScanResult) -> StoredState | None:
-    """Return the state as of the last finished flush, or None if the file doesn't say whose it is.
+    """Return the state as of the last complete flush, or None if the file names no valid owner.
 
-    A record of an unknown type, or whose fields don't fit, is skipped: its checksum is right, so it was
-    written by a newer program.
+    A record of an unknown type or with unexpected fields is skipped: its checksum is valid, so a newer
+    program version wrote it.
     """
     owner = _read_owner(scan)
     if owner is None:
         return None
     state = StoredState(owner)
-    flush = list[StoredRecord]()  # the records of a flush whose end has not been seen yet
+    flush = list[StoredRecord]()  # records of a flush that may be incomplete
     for stored in scan.records[1:]:
         if stored.record_type == record_log.END:
             for record in flush:
@@ -178,7 +181,7 @@
 
 
 def _read_owner(scan: record_log.ScanResult) -> StoreOwner | None:
-    """The owner that the file's first record names."""
+    """Return the owner in the file's first record, or None if there is no valid one."""
     if not scan.records:
         return None
     body = dict(scan.records[0].body)
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands over."""
+"""Tests of loading the platform's configuration."""
 
 from __future__ import annotations
 
--- a/tests/net/test_state_persister.py
+++ b/tests/net/test_state_persister.py
@@ -1,4 +1,4 @@
-"""What the proxy stores of itself, and whose store it takes for its own."""
+"""Tests of the state that a proxy restores and stores, and of the owner of its store."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 class DeploymentDigest(TestCase):
     def test_it_is_the_one_that_earlier_versions_stored(self) -> None:
-        """Another digest would make each proxy leave its own store unused after an upgrade."""
-        self.assertEqual(deployment_digest(load_configuration()), "6afa77546d9adfde")  # by version 69eb350
+        """With a different digest each proxy would ignore its own store after an upgrade."""
+        self.assertEqual(deployment_digest(load_configuration()), "6afa77546d9adfde")  # of version 69eb350
 
 
 class StoreScene(TestCase):
@@ -71,7 +71,7 @@
         store.close(NOW - 1_500.0)
         with mock.patch.object(state_persister, "log_event") as logged:
             facts = self.persister().warm_start_facts()
-        logged.assert_not_called()  # nothing is wrong with the store
+        logged.assert_not_called()  # a valid store is opened without log events
         expected = {
             "source": "store",
             "stored_age": "1.5 s",
--- a/tests/operator_config/test_settings.py
+++ b/tests/operator_config/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file: each key of it is a promise to those who wrote one."""
+"""Tests of the operator's file, whose keys must stay compatible with existing files."""
 
 from __future__ import annotations
 
--- a/tests/recovery/test_change_tracker.py
+++ b/tests/recovery/test_change_tracker.py
@@ -1,4 +1,4 @@
-"""Which limits are stored again."""
+"""Tests of the selection of limits that are stored again."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
             (limit(9000, 60, 2.0), 1),
         ]:
             self.assertEqual(len(tracker.changed_limits([current])), count, current)
-        tracker.changed_limits([])  # the server is not listed any more: nothing is remembered of it
+        tracker.changed_limits([])  # the server is no longer listed, so the tracker forgets it
         self.assertEqual(len(tracker.changed_limits([limit(9001, 60, 2.0)])), 1)
 
 
--- a/tests/recovery/test_freshness.py
+++ b/tests/recovery/test_freshness.py
@@ -1,4 +1,4 @@
-"""What a stored record may be used for, by its age."""
+"""Tests of the usability of stored records by their age and source."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MINUTE_MS = 6e4
 HOUR_MS = 3.6e6
 AGES = (SECOND_MS, 10 * SECOND_MS, 10 * MINUTE_MS, 10 * HOUR_MS)
-TABLE = {  # docs/recovery.md states the same
+TABLE = {  # as in docs/recovery.md
     RecordType.MEMBER: (Usability.FULL, Usability.PARTIAL, Usability.PARTIAL, Usability.PROBE),
     RecordType.LIMIT: (Usability.FULL, Usability.FULL, Usability.PARTIAL, Usability.PROBE),
     RecordType.HEALTH: (Usability.FULL, Usability.PROBE, Usability.PROBE, Usability.NONE),
@@ -45,7 +45,7 @@
             ):
                 found = usable_as(record_type, Source.STORE, recorded_at, NOW, server_started_at)
                 self.assertEqual(found, expected)
-        for record_type in RecordType:  # a clock that jumped back while the proxy was down
+        for record_type in RecordType:  # the clock was set back while the proxy was down
             self.assertEqual(usable_as(record_type, Source.STORE, NOW + HOUR_MS, NOW), Usability.PROBE)
 
     def test_an_older_index_never_overrides_a_newer_one_unless_discovery_began_anew(self) -> None:
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -1,5 +1,8 @@
-"""Twelve processes of the program under load, most of them killed at once, their stores kept, lost or
-damaged meanwhile. The rule checker and the clients judge; a machine too slow for that skips the test."""
+"""Tests with twelve proxy processes under load, of which most are killed at once.
+
+Their stores are kept, lost or damaged before the restart. The rule checker and the clients' outcomes decide
+whether a test passes; on a machine that is too slow the tests are skipped.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,8 @@
 
 
 def scenario(how: str, *more: FaultConfig, discovery_down: bool = True) -> Scenario:
-    """Two thirds of twelve proxies killed; with `discovery_down`, discovery fails to the end of the run."""
+    """Return a scenario in which two thirds of twelve proxies are killed; `how` says what happens to their
+    stores. With `discovery_down`, discovery is down from before the kill to the end of the run."""
     faults = [FaultConfig("kill-many", KILLED_AT_S, RESTARTED_AFTER_S, 0.67, how=how), *more]
     if discovery_down:
         faults.insert(0, FaultConfig("list-down", KILLED_AT_S - 0.3, DISCOVERY_DOWN_S))
@@ -40,13 +44,13 @@
 
 
 def outcomes_from(results: list[Result], at: float) -> Counter[str]:
-    """The outcomes of the requests from second `at` on, counted."""
+    """Count the outcomes of the requests sent from second `at` on."""
     return Counter(result.outcome for result in results if result.at >= at)
 
 
 class KilledProxies(TestCase):
-    """Without the stored list the proxies that were killed reject all until discovery is back, so each of
-    these tests fails with what it tests taken out."""
+    """Without a stored list the killed proxies reject all requests until discovery is back, so these tests
+    fail if proxies don't restore it."""
 
     def test_they_serve_without_discovery_only_if_they_have_their_stores(self) -> None:
         shares = {}
@@ -65,7 +69,7 @@
             "kill-many", KILLED_AT_S + RESTARTED_AFTER_S + 0.7, RESTARTED_AFTER_S, 0.67, how="flipped"
         )
         made = scenario("swapped", second_kill, discovery_down=False)
-        made.seconds = 8.5  # back at 5.3 s; each asks for the list within 1.9 s of its start
+        made.seconds = 8.5  # the proxies restart at 5.3 s; each polls discovery within 1.9 s of its start
         found = outcome_of(made)
         self.assertFalse(found.broken)
         outcomes = outcomes_from(found.results, 7.5)
@@ -75,19 +79,21 @@
 
 class FrozenProxies(TestCase):
     def test_they_send_nothing_to_servers_that_drained_meanwhile(self) -> None:
-        """Eight of twelve stop for 3.5 s; what discovery wrote meanwhile is older than the grace period."""
+        """Eight of twelve proxies are frozen for 3.5 s; by then discovery's updates from that time are older
+        than the grace period."""
         made = Scenario(6.0, [LoadPhase(0, 100)], lead_s=2.5)
         made.faults = [FaultConfig("deploy", 0.2, 1.0, 0.4, 0.4, 6.5), FaultConfig("freeze", 1.0, 3.5, 0.67)]
         made.discovery.notice_s = (1.2, 1.6)
         made.proxies = ProxiesConfig(12)
         made.check()
         found = outcome_of(made)
-        # A request that came as they went on may find the backlog before it: that is no stale decision.
+        # Requests that arrive when the proxies resume may be lost behind their backlog. The test is about
+        # decisions on stale lists, so it ignores this rule.
         self.assertEqual([str(one) for one in found.broken if one.rule != "lost"], [])
 
 
 class OperatorsFile(TestCase):
-    """One process of the program, started with an operator's file."""
+    """Tests with a proxy process that is started with an operator's file."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -128,12 +134,12 @@
         return process
 
     def wait_for_line(self, process: subprocess.Popen[str], part: str) -> str:
-        """The first line of its log that has this part."""
+        """Return the first line of the log that contains this text."""
         assert process.stderr
         for line in process.stderr:
             if part in line:
                 return line
-        message = f"it ended without a line with {part!r}"
+        message = f"the log ended without a line that contains {part!r}"
         raise AssertionError(message)
 
     def test_a_second_process_on_a_store_and_a_bad_file_end_with_one_line_that_says_why(self) -> None:
@@ -166,7 +172,7 @@
 
 class CommandLine(TestCase):
     def invoke(self, *arguments: str) -> tuple[int, str]:
-        """The exit code and the output."""
+        """Run a command; return its exit code and output."""
         result = CliRunner().invoke(app, arguments)
         return result.exit_code, result.output
 
--- a/tests/recovery/test_warm_start.py
+++ b/tests/recovery/test_warm_start.py
@@ -1,4 +1,4 @@
-"""What the balancer receives at the start from a store, and what it makes of it."""
+"""Tests of the state that is restored at startup, and of its effect in the balancer."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def endpoint(name: str, started_at: float = 1.0, server_type: str = "small-1") -> dict[str, object]:
-    """An entry of discovery's list."""
+    """Return an entry of discovery's list."""
     return {"name": name, "type": server_type, "since_ms": started_at, "status": "active"}
 
 
 def stored_state(
     age: float, index: int = 9, names: str = "abc", server_started_at: float = 1.0, failure_rate: float = 0.0
 ) -> StoredState:
-    """The state that was stored `age` ms ago: these servers and the origin, "o"."""
+    """Return a state stored `age` ms ago that contains these servers and the origin "o"."""
     state = StoredState(StoreOwner("n", "s"))
     endpoints = [endpoint(name) for name in names] + [endpoint("o", 0.0, ORIGIN)]
     state.apply(EndpointListRecord(index, NOW - age, 3, endpoints))
@@ -47,13 +47,13 @@
 
 
 def plan(state: StoredState | None) -> WarmStart:
-    """The start with a configured list of the servers "a" and "d" and the origin."""
+    """Plan a warm start with a configured list of the servers "a" and "d" and the origin."""
     endpoints = [endpoint("a"), endpoint("d"), endpoint("o", 0.0, ORIGIN)]
     return plan_warm_start({"index": 5, "snapshot": True, "endpoints": endpoints}, state, NOW, ORIGIN)
 
 
 def restore_modes(start: WarmStart) -> dict[str, str]:
-    """How the limit of each server is restored."""
+    """Return the restore mode of each server's limit."""
     return {
         event.server.decode(): event.mode.value for event in start.events if isinstance(event, LimitRestored)
     }
@@ -109,7 +109,7 @@
         self.assertEqual(limits[RestoreMode.PARTIAL] * 2, limits[RestoreMode.FULL])
         self.assertGreater(
             limits[RestoreMode.FULL], 0.1 * 50 * 2
-        )  # Little's law, and room up to the latency objective
+        )  # more than by Little's law, since latency may rise up to the latency objective
 
     def test_a_limit_is_not_restored_if_one_is_known_or_the_server_is_warming_up_or_not_listed(self) -> None:
         server = entries(4)[0].server
--- a/tests/store/test_file_store.py
+++ b/tests/store/test_file_store.py
@@ -1,4 +1,4 @@
-"""The store: whatever happens to its file or its process, it holds the old state or the new, never a mix."""
+"""Tests of the store: after any failure it contains the old state or the new one, never a mix of both."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         for version in range(1, 40):
             self.fill(store, version, version * 1000.0)
         store.put(EndpointListConfirmation(39, 50_000.0))
-        store.put(EndpointListConfirmation(38, 60_000.0))  # of another list, so it is ignored
+        store.put(EndpointListConfirmation(38, 60_000.0))  # for another list, so it is ignored
         store.close(41_000.0)
         reopened = self.open()
         assert reopened.loaded
@@ -86,7 +86,7 @@
 
 
 class Interruption(StoreScene):
-    """A process that ends, or a disk that refuses, at any step."""
+    """Tests in which the process ends or the disk fails at any file system call."""
 
     def test_a_process_that_ends_at_any_step_leaves_the_old_state_or_the_new_one(self) -> None:
         for written_share in (0.0, 0.7):
@@ -103,9 +103,9 @@
                         finished = version
                     store.close(9000.0)
                 except ProcessEnded:
-                    os.close(store._lock)  # as the end of the process does
+                    os.close(store._lock)  # the end of a process closes its descriptors
                 found = versions(self.read())
-                # All of one version: the last that was finished, or the one that was being written.
+                # All records have the same version: the last that was flushed, or the one being written.
                 self.assertEqual((len(found), len(set(found))), (8, 1), steps)
                 self.assertIn(found[0], {float(finished), float(min(finished + 1, 4))}, steps)
                 self.path.unlink()
@@ -136,7 +136,7 @@
             self.fill(store, 1, 0.0)
             file_system.steps = 0
             self.fill(store, 2, 2000.0)
-            file_system.steps = UNLIMITED  # the disk is sound again, and nothing new is put
+            file_system.steps = UNLIMITED  # the disk works again; no new record is put
             if ends == "flush":
                 store.flush(9000.0)
                 self.assertEqual(set(versions(self.read())), {2.0})
@@ -149,18 +149,18 @@
 
         class FailingClose(FaultyFileSystem):
             def close(self, descriptor: int) -> None:
-                super().close(descriptor)  # as on Linux: the number is free, whatever is returned
+                super().close(descriptor)  # Linux releases the descriptor even if close(2) fails
                 closed.append(descriptor)
                 if len(closed) == 1:
                     raise OSError(errno.EIO, "at close")
 
         store = self.open(FailingClose(), limits=StoreLimits(bytes=1 << 20))
-        for version in range(1, 400):  # the file is written anew more than once
+        for version in range(1, 400):  # until the file has been rewritten twice
             self.fill(store, version, version * 1000.0)
             if len(closed) >= 2:
                 break
         self.assertEqual(len(closed), 2)
-        kept = os.open(self.path, os.O_RDONLY)  # takes the number that is free
+        kept = os.open(self.path, os.O_RDONLY)  # reuses the released descriptor
         self.addCleanup(os.close, kept)
         store.close(1e9)
         self.assertNotIn(kept, closed[2:])
@@ -173,7 +173,7 @@
         self.fill(store, 1, 1000.0)
         self.fill(store, 2, 2000.0)
         store.close(3000.0)
-        self.path.write_bytes(self.path.read_bytes()[:-1])  # cuts the end of the second flush
+        self.path.write_bytes(self.path.read_bytes()[:-1])  # truncates the second flush
         reopened = self.open()
         self.assertEqual(set(versions(reopened.loaded)), {1.0})
         [(event, facts)] = self.events
--- a/tests/store/test_record_log.py
+++ b/tests/store/test_record_log.py
@@ -1,4 +1,4 @@
-"""The file format: versions, and files that are damaged in any way."""
+"""Tests of the file format: versions and damaged files."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def damaged(data: bytes, rng: random.Random) -> bytes:
-    """The data with flipped bits, a cut, or a piece that is overwritten, missing or duplicated."""
+    """Return the data with flipped bits, truncated, or with a block overwritten, removed or duplicated."""
     changed = bytearray(data)
     damage = rng.randrange(4)
     if damage == 0:
@@ -41,10 +41,10 @@
     else:
         start = rng.randrange(len(changed))
         size = rng.randrange(1, 400)
-        if damage == 2:  # a piece from elsewhere in the same file
+        if damage == 2:  # overwrite with a block of the same file
             source = rng.randrange(len(changed))
             changed[start : start + size] = data[source : source + size]
-        else:  # a piece is missing, or there twice
+        else:  # duplicate or remove a block
             changed[start:start] = data[start : start + size] if rng.random() < 0.5 else b""
             del changed[start : start + size]
     return bytes(changed)
@@ -64,7 +64,7 @@
         for _ in range(10_000):
             found = record_log.scan(damaged(good, rng))
             records.fold(found)
-            # What is read is a beginning of what was written, record for record.
+            # The records that are read are a prefix of those that were written.
             self.assertEqual(found.records, whole.records[: len(found.records)])
             shortened += len(found.records) < len(whole.records)
         self.assertGreater(shortened, 5_000)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -1,4 +1,4 @@
-"""The state that records add up to."""
+"""Tests of the state that is built from records."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             + record_log.end(5)
         )
         newer = record_log.begin(1, {"proxy": "n1", "site": "site", "starts": [], "later": 1})
-        # An owner with an unknown field was written by a newer program.
+        # An owner with an unknown field was written by a newer program version.
         self.assertIsNone(records.fold(record_log.scan(newer + flush)))
         state = records.fold(record_log.scan(record_log.begin(1, {"proxy": "n1", "site": "site"}) + flush))
         assert state
--- a/tests/store/test_store_compatibility.py
+++ b/tests/store/test_store_compatibility.py
@@ -1,7 +1,8 @@
-"""The stored form: a store of an earlier version is read in full, and the same calls write the same bytes.
+"""Tests that the stored format is unchanged.
 
-The fixtures were written by version 69eb350 with the calls of `write_sample_store`: a new store with two
-flushes that hold all four record kinds, and the same store opened and closed once more.
+A store of an earlier version is read completely, and the same calls write the same bytes. The fixtures were
+written by version 69eb350 with the calls of `write_sample_store`: a new store with two flushes that contain
+all four record types, and the same store after it was opened and closed once more.
 """
 
 from __future__ import annotations
@@ -133,7 +134,7 @@
 
 
 def open_store(path: Path, now: float) -> Store:
-    """The sample proxy's store; any event that it reports is a failure."""
+    """Open the sample proxy's store; the test fails if it reports any event."""
 
     def fail(event: str, /, **facts: object) -> None:
         message = f"{event}: {facts}"
@@ -143,7 +144,7 @@
 
 
 def write_sample_store(path: Path) -> None:
-    """The calls that wrote the fixture."""
+    """Write a store with the calls that wrote the fixture."""
     store = open_store(path, START_MS)
     store.put(EndpointListRecord(41, START_MS + 1_000.0, 2, ENDPOINTS))
     store.put(LimitRecord("origin", 0.0, START_MS + 900.0, 120, 42.5, 10.25))
--- a/tests/store/test_write_budget.py
+++ b/tests/store/test_write_budget.py
@@ -1,4 +1,4 @@
-"""The limit on bytes written per second."""
+"""Tests of the limit on bytes written per second."""
 
 from __future__ import annotations
 
