--- a/lupinladder/net/config.py
+++ b/lupinladder/net/config.py
@@ -117,10 +117,10 @@
 
 def _max_open_requests(tree: Any, settings_tree: Any) -> int:
     """Return the maximum number of open requests: that of the settings, reduced to what fits in memory."""
-    allowed = read_value(settings_tree, "ceilings.max-open", int)
+    configured_maximum = read_value(settings_tree, "ceilings.max-open", int)
     memory_bytes = read_value(tree, "limits.memory_mb", float) * BYTES_PER_MB
-    fitting = int(memory_bytes * MEMORY_SHARE_FOR_VALUES / BYTES_PER_OPEN_REQUEST)
-    return int(min(allowed, max(fitting, 1)))
+    maximum_in_memory = int(memory_bytes * MEMORY_SHARE_FOR_VALUES / BYTES_PER_OPEN_REQUEST)
+    return int(min(configured_maximum, max(maximum_in_memory, 1)))
 
 
 def load_operator_settings(env: Mapping[str, str]) -> OperatorSettings | None:
--- a/lupinladder/net/state_persister.py
+++ b/lupinladder/net/state_persister.py
@@ -41,23 +41,23 @@
 NO_LIST_INDEX = -1  # used until the first list has been stored
 
 
-def deployment_digest(conf: ProxyConfig) -> str:
+def deployment_digest(config: ProxyConfig) -> str:
     """Return a digest of the settings that limits depend on.
 
     They include the request classes, zones, server kinds and the number of proxies. The digest is stored: if
     its inputs or their order changed, each proxy would ignore its own store after an upgrade.
     """
-    settings = conf.settings
-    digested = [
-        conf.classes,
-        conf.kinds,
-        conf.zones,
+    settings = config.settings
+    inputs = [
+        config.classes,
+        config.kinds,
+        config.zones,
         settings.balancer_count,
         settings.warmup_time,
         settings.cache_aside,
         [(request_class.latency_objective, request_class.deadline) for request_class in settings.classes],
     ]
-    return hashlib.blake2b(json.dumps(digested).encode(), digest_size=8).hexdigest()
+    return hashlib.blake2b(json.dumps(inputs).encode(), digest_size=8).hexdigest()
 
 
 @dataclass(slots=True)
@@ -123,7 +123,7 @@
     _dispatcher: RequestDispatcher
     _registry: EndpointRegistry
 
-    def __init__(self, conf: ProxyConfig, settings: StoreSettings, now: float) -> None:
+    def __init__(self, config: ProxyConfig, settings: StoreSettings, now: float) -> None:
         """Open the store and plan the warm start.
 
         Raises ConfigError if the store cannot be used, StoreUnavailableError if it cannot be used for now.
@@ -132,13 +132,13 @@
         # the loop's it is monotonic: if the wall clock were set back, a store that used it would stop writing
         # until the clock had caught up.
         clock_offset_ms = now - time.monotonic() * 1000
-        self._conf = conf
+        self._config = config
         self._interval_ms = settings.every_ms
-        store = _open_store(conf, settings, now)
-        origin_type = conf.kinds[conf.origin_kind] if 0 <= conf.origin_kind < len(conf.kinds) else ""
-        self.beginning: WarmStart = plan_warm_start(conf.known, store.loaded, now, origin_type)
+        store = _open_store(config, settings, now)
+        origin_type = config.kinds[config.origin_kind] if 0 <= config.origin_kind < len(config.kinds) else ""
+        self.beginning: WarmStart = plan_warm_start(config.known, store.loaded, now, origin_type)
         self._recent_starts = sum(now - started_at < MINUTE_MS for started_at in store.starts)
-        self._changes = ChangeTracker()
+        self._change_tracker = ChangeTracker()
         self._list_index = NO_LIST_INDEX
         self._generation = self.beginning.generation
         self._writer = StoreWriter(store, lambda: time.monotonic() * 1000 + clock_offset_ms)
@@ -188,7 +188,7 @@
             changes.append(EndpointListRecord(index, now, self._generation, list(self._endpoints())))
         elif self._registry.is_current:
             changes.append(EndpointListConfirmation(index, now))
-        changes += self._changes.changed_limits(self._limits())
+        changes += self._change_tracker.changed_limits(self._limits())
         changes.append(busiest_slots(self._dispatcher.slot_load(), now))
         return changes
 
@@ -201,8 +201,8 @@
                 yield {
                     "name": server.id.decode(),
                     "address": f"{host}:{port}",
-                    "zone": self._conf.zones[server.endpoint.zone],
-                    "type": self._conf.kinds[server.endpoint.server_kind],
+                    "zone": self._config.zones[server.endpoint.zone],
+                    "type": self._config.kinds[server.endpoint.server_kind],
                     "group": server.endpoint.cell,
                     "status": "active",
                     "weight": server.endpoint.weight,
@@ -226,13 +226,13 @@
                 )
 
 
-def _open_store(conf: ProxyConfig, settings: StoreSettings, now: float) -> file_store.Store:
+def _open_store(config: ProxyConfig, settings: StoreSettings, now: float) -> file_store.Store:
     """Open the proxy's store.
 
     Raises ConfigError if it cannot be used, StoreUnavailableError if it cannot be used for now.
     """
-    path = Path(settings.path.replace("{name}", conf.name))
-    owner = StoreOwner(conf.name, deployment_digest(conf))
+    path = Path(settings.path.replace("{name}", config.name))
+    owner = StoreOwner(config.name, deployment_digest(config))
     limits = file_store.StoreLimits(settings.bytes, settings.bytes_per_s, settings.sync)
     try:
         return file_store.Store(path, owner, now, log_event, limits)
--- a/lupinladder/operator_config/source_lines.py
+++ b/lupinladder/operator_config/source_lines.py
@@ -15,13 +15,13 @@
 Step = str | int  # element of a path: a key or an array index
 _Path = tuple[Step, ...]
 _STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]")
-_NO_VALUES = ("[", "]", ",", "comment")  # types of an array's child nodes that are not values
+_NON_VALUE_TYPES = ("[", "]", ",", "comment")  # types of an array's child nodes that are not values
 
 
 def parse_path(path: str) -> list[Step]:
     """Return the elements of a path such as `faults[2].at`: keys and array indexes."""
     dotted = path if path.startswith(".") else "." + path
-    return [int(place) if place else key for key, place in _STEP.findall(dotted)]
+    return [int(index) if index else key for key, index in _STEP.findall(dotted)]
 
 
 class SourceLines:
@@ -39,10 +39,10 @@
 
     def line(self, path: list[Step]) -> int:
         """Return the line of the value at this path, or of the nearest enclosing table or array."""
-        known = tuple(path)
-        while known not in self._lines:
-            known = known[:-1]
-        return self._lines[known]
+        known_path = tuple(path)
+        while known_path not in self._lines:
+            known_path = known_path[:-1]
+        return self._lines[known_path]
 
     def _add_table(self, node: Node) -> None:
         """Add the lines of a table with the header `[a.b]` or `[[a.b]]`."""
@@ -79,9 +79,9 @@
                 if child.type == "pair":
                     self._add_pair(path, child)
         elif node.type == "array":
-            values = [child for child in node.children if child.type not in _NO_VALUES]
-            for place, child in enumerate(values):
-                self._add_value((*path, place), child)
+            values = [child for child in node.children if child.type not in _NON_VALUE_TYPES]
+            for index, child in enumerate(values):
+                self._add_value((*path, index), child)
 
 
 def _keys(node: Node) -> list[str]:
--- a/lupinladder/recovery/freshness.py
+++ b/lupinladder/recovery/freshness.py
@@ -87,7 +87,7 @@
     # The origin is one server that runs for months; the load that it can handle depends on the requests.
     RecordType.ORIGIN: AgeLimits(full=30 * SECOND_MS, partial=15 * MINUTE_MS, probe=DAY_MS),
 }
-SOURCE_LIMITS: dict[Source, Usability] = {  # highest usability of records of each source
+MAX_USABILITY_BY_SOURCE: dict[Source, Usability] = {  # highest usability of records of each source
     Source.STORE: Usability.FULL,
     Source.PEER: Usability.PROBE,
     Source.CONFIG: Usability.FULL,
@@ -113,8 +113,8 @@
         return Usability.NONE
     age = now - recorded_at
     if age < -MAX_CLOCK_SKEW_MS:
-        return min(Usability.PROBE, SOURCE_LIMITS[source])
-    return min(_usable_at_age(AGE_LIMITS[record_type], age), SOURCE_LIMITS[source])
+        return min(Usability.PROBE, MAX_USABILITY_BY_SOURCE[source])
+    return min(_usable_at_age(AGE_LIMITS[record_type], age), MAX_USABILITY_BY_SOURCE[source])
 
 
 def supersedes(index: int, generation: int, known_index: int, known_generation: int) -> bool:
--- a/lupinladder/recovery/warm_start.py
+++ b/lupinladder/recovery/warm_start.py
@@ -45,18 +45,18 @@
 
 
 def plan_warm_start(
-    config: dict[str, Any], state: StoredState | None, now: float, origin_type: str
+    configured_list: dict[str, Any], state: StoredState | None, now: float, origin_type: str
 ) -> WarmStart:
     """Return the state to start with.
 
-    `config` is the configured endpoint list, `now` is Unix time in ms, and `origin_type` is the type that
-    the origin has in the list.
+    `configured_list` is the endpoint list of the configuration, `now` is Unix time in ms, and `origin_type`
+    is the type that the origin has in the list.
     """
     if state is None:
-        return WarmStart(config, 0, Source.CONFIG)
-    initial = choose_endpoint_list(config, state.endpoint_list, now)
-    plan = WarmStart(initial.tree, initial.generation, initial.source)
-    plan.stored_age = _newest_age(state, now)
+        return WarmStart(configured_list, 0, Source.CONFIG)
+    initial = choose_endpoint_list(configured_list, state.endpoint_list, now)
+    warm_start = WarmStart(initial.tree, initial.generation, initial.source)
+    warm_start.stored_age = _newest_age(state, now)
     list_usability = _list_usability(initial.source, state, now)
     for endpoint in initial.tree.get("endpoints", ()):
         if not isinstance(endpoint, dict) or not isinstance(endpoint.get("name"), str):
@@ -66,14 +66,14 @@
         if initial.source is Source.STORE and not is_origin:
             limit.usability = _cap_by_list(limit.usability, list_usability)
         if limit.usability:
-            _restore_limit(plan, endpoint["name"], limit)
+            _restore_limit(warm_start, endpoint["name"], limit)
     if state.slot_load:
-        _restore_slot_load(plan, state.slot_load, now)
-    return plan
+        _restore_slot_load(warm_start, state.slot_load, now)
+    return warm_start
 
 
 def choose_endpoint_list(
-    config: dict[str, Any], stored: EndpointListRecord | None, now: float
+    configured_list: dict[str, Any], stored: EndpointListRecord | None, now: float
 ) -> InitialEndpointList:
     """Return the endpoint list to start with.
 
@@ -81,8 +81,8 @@
     probe; it is then used as a snapshot.
     """
     if stored is None:
-        return InitialEndpointList(config, 0, Source.CONFIG)
-    index = config.get("index", 0)
+        return InitialEndpointList(configured_list, 0, Source.CONFIG)
+    index = configured_list.get("index", 0)
     is_numbered = isinstance(index, int)
     usability = usable_as(RecordType.MEMBER, Source.STORE, stored.at, now)
     if usability and supersedes(stored.index, 0, index if is_numbered else 0, 0):
@@ -90,8 +90,8 @@
         return InitialEndpointList(tree, stored.generation, Source.STORE)
     # If the stored list is too old to be used but has a higher index than the configured list, a new
     # generation starts; otherwise the configured list would never replace the stored one in the store.
-    begins_generation = is_numbered and index < stored.index
-    return InitialEndpointList(config, stored.generation + begins_generation, Source.CONFIG)
+    is_new_generation = is_numbered and index < stored.index
+    return InitialEndpointList(configured_list, stored.generation + is_new_generation, Source.CONFIG)
 
 
 @dataclass(slots=True)
@@ -111,13 +111,13 @@
         return _AssessedLimit(Usability.NONE)  # no limit is stored, or it is of an earlier process
     record_type = RecordType.ORIGIN if is_origin else RecordType.LIMIT
     usability = usable_as(record_type, Source.STORE, record.at, now, server_started_at)
-    health = usable_as(RecordType.HEALTH, Source.STORE, record.at, now, server_started_at)
-    if health and record.failure_rate > MAX_FAILURE_RATE and not is_origin:
+    health_usability = usable_as(RecordType.HEALTH, Source.STORE, record.at, now, server_started_at)
+    if health_usability and record.failure_rate > MAX_FAILURE_RATE and not is_origin:
         usability = min(usability, Usability.PROBE)  # it was failing, so its earlier limit doesn't matter
     return _AssessedLimit(
         usability,
         record if usability > Usability.PROBE else None,
-        record.failure_rate if health is Usability.FULL else 0.0,
+        record.failure_rate if health_usability is Usability.FULL else 0.0,
     )
 
 
@@ -132,24 +132,24 @@
     return min(usability or Usability.PROBE, list_usability)
 
 
-def _restore_limit(plan: WarmStart, server: str, limit: _AssessedLimit) -> None:
+def _restore_limit(warm_start: WarmStart, server: str, limit: _AssessedLimit) -> None:
     """Add the event that restores this server's limit."""
-    plan.limits_restored[limit.usability] = plan.limits_restored.get(limit.usability, 0) + 1
+    warm_start.limits_restored[limit.usability] = warm_start.limits_restored.get(limit.usability, 0) + 1
     event = LimitRestored(server.encode(), RESTORE_MODES[limit.usability], failure_rate=limit.failure_rate)
     if limit.record:
         event.min_latency = limit.record.min_latency
         event.max_qps = limit.record.max_qps / 1000
         event.slot_share = limit.record.slot_share
-    plan.events.append(event)
+    warm_start.events.append(event)
 
 
-def _restore_slot_load(plan: WarmStart, record: SlotLoadRecord, now: float) -> None:
+def _restore_slot_load(warm_start: WarmStart, record: SlotLoadRecord, now: float) -> None:
     """Add the event that restores the load of slots, unless its record is too old."""
     usability = usable_as(RecordType.SLOT, Source.STORE, record.at, now)
     share = SLOT_LOAD_SHARES.get(usability)
     if share is not None:
         restored = {slot: load * share for slot, load in record.slot_load.items()}
-        plan.events.append(SlotLoadRestored(restored))
+        warm_start.events.append(SlotLoadRestored(restored))
 
 
 def _list_usability(source: Source, state: StoredState, now: float) -> Usability:
--- a/lupinladder/store/file_store.py
+++ b/lupinladder/store/file_store.py
@@ -108,10 +108,10 @@
         self._budget = WriteBudget(self._limits.bytes_per_s, now)
         self._pending: dict[tuple[int, str], StoredRecord] = {}  # latest unwritten record of each key
         self._file = NOT_OPEN
-        self._file_is_whole = False  # if False, the file is rewritten before the next append
+        self._file_is_intact = False  # if False, the file is rewritten before the next append
         self._file_size = 0
         self._snapshot_size = 0  # size of the file after its last rewrite
-        self._last_number = 0  # sequence number of the last record
+        self._last_sequence_number = 0  # sequence number of the last record
         self._error: tuple[str, dict[str, object]] | None = None  # event and fields of the last error
         self._lock = self._acquire_lock()
         self.loaded = self._load(owner)
@@ -125,7 +125,7 @@
         if isinstance(record, EndpointListConfirmation) and not self.state.confirms_list(record):
             return
         self.state.apply(record)
-        self._pending[records.RECORD_NUMBERS[type(record)], record.key] = record
+        self._pending[records.RECORD_TYPE_NUMBERS[type(record)], record.key] = record
 
     def flush(self, now: float) -> int:
         """Write pending records, as far as the write budget allows, and return the number of bytes written.
@@ -135,10 +135,10 @@
         """
         self._budget.refill(now)
         # After a failed write the file must be rewritten even if no record is pending.
-        has_work = self._pending or not self._file_is_whole
+        has_work = self._pending or not self._file_is_intact
         if not has_work or self._budget.is_exhausted:
             return 0
-        if not self._file_is_whole or self._file_size > 2 * self._snapshot_size + MAX_APPENDED_BYTES:
+        if not self._file_is_intact or self._file_size > 2 * self._snapshot_size + MAX_APPENDED_BYTES:
             return self._rewrite()
         return self._append(self._encode_pending())
 
@@ -146,9 +146,9 @@
         """Write pending records, up to the maximum burst of the write budget, and release the lock."""
         self._budget.grant(self._limits.bytes, now)
         self.flush(now)
-        former_file = self._file
+        old_file = self._file
         self._file = NOT_OPEN
-        self._close_file(former_file)
+        self._close_file(old_file)
         self._file_system.close(self._lock)
 
     def _close_file(self, descriptor: int) -> None:
@@ -189,7 +189,7 @@
             valid_records = len(scan.records)
             self._report("store_damaged", path=self._path, damage=scan.damage, valid_records=valid_records)
         if scan.records:
-            self._last_number = scan.records[-1].number
+            self._last_sequence_number = scan.records[-1].sequence_number
         state = records.fold(scan)
         if state is None:
             self._quarantine()
@@ -227,8 +227,8 @@
 
     def _encode_snapshot(self) -> bytes:
         """Return the whole state encoded as the content of a new file."""
-        self._last_number += 1
-        parts = [record_log.begin(self._last_number, msgspec.to_builtins(self.state.owner))]
+        self._last_sequence_number += 1
+        parts = [record_log.begin(self._last_sequence_number, msgspec.to_builtins(self.state.owner))]
         parts += [self._encode(record) for record in self.state.all()]
         parts.append(self._encode_end())
         return b"".join(parts)
@@ -239,16 +239,16 @@
         A record that is too large is reported and skipped: the result is empty, and no number is used.
         """
         try:
-            data = records.encode(self._last_number + 1, record)
+            data = records.encode(self._last_sequence_number + 1, record)
         except record_log.RecordTooLargeError as error:
             self._set_error("store_record_too_large", path=self._path, bytes=error.size)
             return b""
-        self._last_number += 1
+        self._last_sequence_number += 1
         return data
 
     def _encode_end(self) -> bytes:
-        self._last_number += 1
-        return record_log.end(self._last_number)
+        self._last_sequence_number += 1
+        return record_log.end(self._last_sequence_number)
 
     def _append(self, data: bytes) -> int:
         """Append the data, or rewrite the file if it would exceed its maximum size."""
@@ -280,10 +280,10 @@
         except OSError as error:
             self._on_write_failed(error)
             return 0
-        former_file = self._file
+        old_file = self._file
         self._file = new_file
-        self._close_file(former_file)
-        self._file_is_whole = True
+        self._close_file(old_file)
+        self._file_is_intact = True
         self._file_size = len(data)
         self._snapshot_size = len(data)
         self._error = None
@@ -307,7 +307,7 @@
 
     def _on_write_failed(self, error: OSError) -> None:
         """Report a failed write. Part of the data may be in the file, so the next write must rewrite it."""
-        self._file_is_whole = False
+        self._file_is_intact = False
         self._set_error("store_write_failed", path=self._path, error=error.strerror)
 
     def _set_error(self, event: str, **facts: object) -> None:
--- a/lupinladder/store/record_log.py
+++ b/lupinladder/store/record_log.py
@@ -26,9 +26,9 @@
 BEGIN = 0  # type of a file's first record
 END = 255  # type of the record that ends a flush; a flush without one is incomplete
 
-_HEADER = struct.Struct("<IIQB")
+_RECORD_HEADER = struct.Struct("<IIQB")
 _BODY_SIZE = struct.Struct("<I")
-_NUMBER_AND_TYPE = struct.Struct("<QB")
+_SEQUENCE_NUMBER_AND_TYPE = struct.Struct("<QB")
 
 Body = dict[str, Any]
 Migration = Callable[[int, Body], Body]
@@ -55,7 +55,7 @@
 class Record:
     """One record of a file; `body` is not yet converted to a type of `records`."""
 
-    number: int
+    sequence_number: int
     record_type: int
     body: Body
 
@@ -75,23 +75,23 @@
         return cls([], 0, damage)
 
 
-def encode(number: int, record_type: int, body: Body) -> bytes:
+def encode(sequence_number: int, record_type: int, body: Body) -> bytes:
     """Encode one record. Raises RecordTooLargeError if its body has more than MAX_BODY_BYTES."""
     data = _encoder.encode(body)
     if len(data) > MAX_BODY_BYTES:
         raise RecordTooLargeError(len(data))
-    checksum = _checksum(number, record_type, data)
-    return _HEADER.pack(len(data), checksum, number, record_type) + data
+    checksum = _checksum(sequence_number, record_type, data)
+    return _RECORD_HEADER.pack(len(data), checksum, sequence_number, record_type) + data
 
 
-def end(number: int) -> bytes:
+def end(sequence_number: int) -> bytes:
     """Encode the record that ends a flush. The records of a flush take effect only if it is present."""
-    return encode(number, END, {})
+    return encode(sequence_number, END, {})
 
 
-def begin(number: int, owner: Body) -> bytes:
+def begin(sequence_number: int, owner: Body) -> bytes:
     """Encode the start of a file: MAGIC and the first record, which holds the owner and the version."""
-    return MAGIC + encode(number, BEGIN, {**owner, "version": VERSION})
+    return MAGIC + encode(sequence_number, BEGIN, {**owner, "version": VERSION})
 
 
 def scan(data: bytes) -> ScanResult:
@@ -115,12 +115,12 @@
     return _migrate(result)
 
 
-class _Header(NamedTuple):
+class _RecordHeader(NamedTuple):
     """The header of a record, its fields in stored order."""
 
     body_size: int
     checksum: int
-    number: int
+    sequence_number: int
     record_type: int
 
 
@@ -130,7 +130,7 @@
     def __init__(self, data: bytes) -> None:
         self.offset = len(MAGIC)
         self._data = data
-        self._previous_number: int | None = None
+        self._previous_sequence_number: int | None = None
 
     @property
     def is_at_end(self) -> bool:
@@ -140,44 +140,48 @@
     def read(self) -> Record:
         """Return the next record. Raises InvalidRecordError, without moving `offset`, if it is not valid."""
         header = self._read_header()
-        body_start = self.offset + _HEADER.size
+        body_start = self.offset + _RECORD_HEADER.size
         body_end = body_start + header.body_size
         if header.body_size > MAX_BODY_BYTES or body_end > len(self._data):
             reason = "a record is cut short, or its length is damaged"
             raise InvalidRecordError(reason)
         body = self._data[body_start:body_end]
         self._verify(header, body)
-        record = Record(header.number, header.record_type, _decode_body(header.number, body))
+        record = Record(
+            header.sequence_number, header.record_type, _decode_body(header.sequence_number, body)
+        )
         self.offset = body_end
-        self._previous_number = header.number
+        self._previous_sequence_number = header.sequence_number
         return record
 
-    def _read_header(self) -> _Header:
-        if len(self._data) - self.offset < _HEADER.size:
+    def _read_header(self) -> _RecordHeader:
+        if len(self._data) - self.offset < _RECORD_HEADER.size:
             reason = "a record's header is truncated"
             raise InvalidRecordError(reason)
-        return _Header(*_HEADER.unpack_from(self._data, self.offset))
+        return _RecordHeader(*_RECORD_HEADER.unpack_from(self._data, self.offset))
 
-    def _verify(self, header: _Header, body: bytes) -> None:
-        if _checksum(header.number, header.record_type, body) != header.checksum:
+    def _verify(self, header: _RecordHeader, body: bytes) -> None:
+        if _checksum(header.sequence_number, header.record_type, body) != header.checksum:
             reason = "a record's checksum is wrong"
             raise InvalidRecordError(reason)
-        previous = self._previous_number
-        if previous is not None and header.number != previous + 1:
-            reason = f"record {previous} is followed by record {header.number}"
+        previous_number = self._previous_sequence_number
+        if previous_number is not None and header.sequence_number != previous_number + 1:
+            reason = f"record {previous_number} is followed by record {header.sequence_number}"
             raise InvalidRecordError(reason)
 
 
-def _checksum(number: int, record_type: int, body: bytes) -> int:
+def _checksum(sequence_number: int, record_type: int, body: bytes) -> int:
     """Return the CRC-32 of everything in a record except the checksum itself."""
-    return zlib.crc32(_BODY_SIZE.pack(len(body)) + _NUMBER_AND_TYPE.pack(number, record_type) + body)
+    return zlib.crc32(
+        _BODY_SIZE.pack(len(body)) + _SEQUENCE_NUMBER_AND_TYPE.pack(sequence_number, record_type) + body
+    )
 
 
-def _decode_body(number: int, data: bytes) -> Body:
+def _decode_body(sequence_number: int, data: bytes) -> Body:
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
-        reason = f"record {number} cannot be decoded: {error}"
+        reason = f"record {sequence_number} cannot be decoded: {error}"
         raise InvalidRecordError(reason) from None
 
 
@@ -187,8 +191,8 @@
     if not isinstance(version, int) or isinstance(version, bool) or not 1 <= version <= VERSION:
         return ScanResult.unusable(f"it is of version {version!r}; this program reads 1 to {VERSION}")
     result.version = version
-    for older in range(version, VERSION):
-        migrate = MIGRATIONS[older]
+    for old_version in range(version, VERSION):
+        migrate = MIGRATIONS[old_version]
         for record in result.records:
             record.body = migrate(record.record_type, record.body)
     return result
--- a/lupinladder/store/records.py
+++ b/lupinladder/store/records.py
@@ -91,7 +91,7 @@
     3: SlotLoadRecord,
     4: EndpointListConfirmation,
 }
-RECORD_NUMBERS = {record_type: number for number, record_type in RECORD_TYPES.items()}
+RECORD_TYPE_NUMBERS = {record_type: type_number for type_number, record_type in RECORD_TYPES.items()}
 
 
 class StoredState:
@@ -135,14 +135,14 @@
 
     def _apply_endpoint_list(self, record: EndpointListRecord) -> None:
         """Replace the list, unless the record is of an older generation or index."""
-        known = self.endpoint_list
-        if known is None or (record.generation, record.index) >= (known.generation, known.index):
+        current = self.endpoint_list
+        if current is None or (record.generation, record.index) >= (current.generation, current.index):
             self.endpoint_list = record
 
     def _apply_confirmation(self, record: EndpointListConfirmation) -> None:
-        known = self.endpoint_list
-        if known is not None and self.confirms_list(record):
-            self.endpoint_list = msgspec.structs.replace(known, at=max(known.at, record.at))
+        current = self.endpoint_list
+        if current is not None and self.confirms_list(record):
+            self.endpoint_list = msgspec.structs.replace(current, at=max(current.at, record.at))
 
     def _apply_limit(self, record: LimitRecord) -> None:
         self.limits.pop(record.server, None)  # moves the server to the end
@@ -152,10 +152,10 @@
             del self.limits[oldest]
 
 
-def encode(number: int, record: StoredRecord) -> bytes:
+def encode(sequence_number: int, record: StoredRecord) -> bytes:
     """Encode a record. Raises RecordTooLargeError if it is too large."""
     body = msgspec.to_builtins(record, str_keys=False)
-    return record_log.encode(number, RECORD_NUMBERS[type(record)], body)
+    return record_log.encode(sequence_number, RECORD_TYPE_NUMBERS[type(record)], body)
 
 
 def fold(scan: record_log.ScanResult) -> StoredState | None:
@@ -168,15 +168,15 @@
     if owner is None:
         return None
     state = StoredState(owner)
-    flush = list[StoredRecord]()  # records of a flush that may be incomplete
-    for stored in scan.records[1:]:
-        if stored.record_type == record_log.END:
-            for record in flush:
+    flush_records = list[StoredRecord]()  # records of a flush that may be incomplete
+    for raw_record in scan.records[1:]:
+        if raw_record.record_type == record_log.END:
+            for record in flush_records:
                 state.apply(record)
-            flush.clear()
-        elif record_type := RECORD_TYPES.get(stored.record_type):
+            flush_records.clear()
+        elif record_type := RECORD_TYPES.get(raw_record.record_type):
             with suppress(msgspec.ValidationError):
-                flush.append(msgspec.convert(stored.body, record_type, strict=False))
+                flush_records.append(msgspec.convert(raw_record.body, record_type, strict=False))
     return state
 
 
--- a/lupinladder/store/write_budget.py
+++ b/lupinladder/store/write_budget.py
@@ -22,7 +22,7 @@
         """Add the bytes for the time since the last call; `now` is in ms. A clock set back adds nothing."""
         elapsed_ms = max(0.0, now - self._refilled_at)
         self._refilled_at = now
-        self._set(self.available + elapsed_ms / 1000 * self._bytes_per_s)
+        self._set_available(self.available + elapsed_ms / 1000 * self._bytes_per_s)
 
     def spend(self, size: int) -> None:
         """Subtract the bytes that were written."""
@@ -31,7 +31,7 @@
     def grant(self, size: int, now: float) -> None:
         """Set the budget to `size` bytes, up to the maximum burst, regardless of what was spent."""
         self._refilled_at = now
-        self._set(float(size))
+        self._set_available(float(size))
 
-    def _set(self, available: float) -> None:
+    def _set_available(self, available: float) -> None:
         self.available = min(available, MAX_BURST_S * self._bytes_per_s)
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -13,19 +13,19 @@
 
 
 class ConfigParsing(unittest.TestCase):
-    def test_a_good_configuration_is_read_and_keeps_within_its_limits(self) -> None:
+    def test_a_valid_configuration_is_parsed_and_respects_its_limits(self) -> None:
         tree = configuration()
         tree["settings"]["tenants"] = SETTINGS["tenants"]
-        conf = config.parse(json.dumps(tree))
+        proxy_config = config.parse(json.dumps(tree))
         self.assertEqual(
-            (conf.listen_address, conf.classes, conf.tenants, conf.seed),
+            (proxy_config.listen_address, proxy_config.classes, proxy_config.tenants, proxy_config.seed),
             (("127.0.0.1", 7001), ["read"], ["a"], 0x8C1F30D27A5BE964),
         )
-        self.assertLess(conf.max_descriptors, 1024)
-        bytes_of_open_requests = conf.max_open_requests * 2 * (64 << 10)
+        self.assertLess(proxy_config.max_descriptors, 1024)
+        bytes_of_open_requests = proxy_config.max_open_requests * 2 * (64 << 10)
         self.assertLess(bytes_of_open_requests, 192 << 20)
 
-    def test_a_bad_configuration_raises_an_error_of_one_line(self) -> None:
+    def test_an_invalid_configuration_raises_an_error_with_a_one_line_message(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             texts = ["{", "[" * 100_000, "[]"]
@@ -39,9 +39,9 @@
                 texts.append(json.dumps({**configuration(), name: value}))
             for text in texts:
                 path.write_text(text)
-                with self.subTest(text=text[:60]), self.assertRaises(config.ConfigError) as caught:
+                with self.subTest(text=text[:60]), self.assertRaises(config.ConfigError) as context:
                     config.load({"GW_CONFIG": str(path)})
-                self.assertNotIn("\n", str(caught.exception))
+                self.assertNotIn("\n", str(context.exception))
         for env in ({}, {"GW_CONFIG": "/nowhere/config.json"}):
             with self.subTest(env=env), self.assertRaises(config.ConfigError):
                 config.load(env)
--- a/tests/net/test_state_persister.py
+++ b/tests/net/test_state_persister.py
@@ -30,12 +30,12 @@
 
 
 class DeploymentDigest(TestCase):
-    def test_it_is_the_one_that_earlier_versions_stored(self) -> None:
+    def test_the_digest_is_the_same_as_in_earlier_versions(self) -> None:
         """With a different digest each proxy would ignore its own store after an upgrade."""
         self.assertEqual(deployment_digest(load_configuration()), "6afa77546d9adfde")  # of version 69eb350
 
 
-class StoreScene(TestCase):
+class StoreTestCase(TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -46,12 +46,12 @@
         return Store(self.path, owner, now, log_event)
 
 
-class WarmStartReport(StoreScene):
+class WarmStartReport(StoreTestCase):
     def persister(self) -> StatePersister:
         settings = StoreSettings(str(self.folder / "{name}.store"))
         return StatePersister(load_configuration(), settings, NOW)
 
-    def test_without_a_store_it_begins_with_the_configured_list(self) -> None:
+    def test_without_a_store_the_configured_list_is_used(self) -> None:
         expected = {
             "source": "config",
             "stored_age": "none",
@@ -62,9 +62,9 @@
         }
         self.assertEqual(self.persister().warm_start_facts(), expected)
 
-    def test_with_a_store_it_begins_with_the_stored_list_and_limits(self) -> None:
-        conf = load_configuration()
-        store = self.open(StoreOwner(conf.name, deployment_digest(conf)), NOW - 2_500.0)
+    def test_with_a_store_the_stored_list_and_limits_are_used(self) -> None:
+        proxy_config = load_configuration()
+        store = self.open(StoreOwner(proxy_config.name, deployment_digest(proxy_config)), NOW - 2_500.0)
         started_at = float(ENTRY["since_ms"])  # type: ignore[arg-type]
         store.put(EndpointListRecord(9, NOW - 1_500.0, 0, [ENTRY]))
         store.put(LimitRecord("s-1", started_at, NOW - 1_500.0, 16, 5.0, 9.0))
@@ -83,17 +83,19 @@
         self.assertEqual(facts, expected)
 
 
-class UnusableStore(StoreScene):
-    def test_a_folder_that_takes_no_file_now_costs_the_store_and_not_the_start(self) -> None:
+class UnavailableStore(StoreTestCase):
+    def test_the_proxy_starts_without_a_store_if_the_folder_is_unavailable(self) -> None:
         settings = OperatorSettings(store=StoreSettings(str(self.folder / "{name}.store")))
-        for number in (errno.ENOSPC, errno.EIO, errno.EROFS, errno.EDQUOT):
-            failing = mock.patch.object(FileSystem, "lock", side_effect=OSError(number, "for a while"))
-            with failing, mock.patch("lupinladder.proxy.ClientListener"):
+        for error_number in (errno.ENOSPC, errno.EIO, errno.EROFS, errno.EDQUOT):
+            failing_lock = mock.patch.object(
+                FileSystem, "lock", side_effect=OSError(error_number, "for a while")
+            )
+            with failing_lock, mock.patch("lupinladder.proxy.ClientListener"):
                 proxy = Proxy(load_configuration(), EventLoop(), mock.Mock(), settings)
             self.assertIsNone(proxy._persister)
 
 
-class Writing(StoreScene):
+class Writing(StoreTestCase):
     def test_records_are_written_and_the_store_is_closed(self) -> None:
         writer = StoreWriter(self.open(StoreOwner("n0", "site"), NOW), lambda: NOW)
         writer.start()
@@ -105,7 +107,7 @@
         self.assertEqual(state.slot_load, SlotLoadRecord(NOW, {5: 1.0}))
         self.open(StoreOwner("n0", "site"), NOW).close(NOW)  # the lock is released
 
-    def test_an_error_is_counted_and_logged_with_its_traceback_and_the_thread_goes_on(self) -> None:
+    def test_an_error_is_counted_and_logged_with_its_traceback_and_the_thread_continues(self) -> None:
         store = self.open(StoreOwner("n0", "site"), NOW)
         writer = StoreWriter(store, lambda: NOW)
         errors = metrics.store_errors
--- a/tests/operator_config/test_settings.py
+++ b/tests/operator_config/test_settings.py
@@ -40,7 +40,7 @@
         self.assertEqual(load("[store]\npath = '/n.store'\n").store, expected)
         self.assertIsNone(load("").store)
 
-    def test_the_example_that_ships_loads(self) -> None:
+    def test_the_example_file_loads(self) -> None:
         example = Path(__file__).parents[2] / "deploy" / "operator.example.toml"
         loaded = load(example.read_text()).store
         assert loaded
--- a/tests/recovery/test_change_tracker.py
+++ b/tests/recovery/test_change_tracker.py
@@ -13,7 +13,7 @@
 
 
 class ChangedLimits(TestCase):
-    def test_an_unchanged_limit_is_not_stored_again_until_its_age_would_mislead(self) -> None:
+    def test_an_unchanged_limit_is_stored_again_only_when_its_record_is_too_old(self) -> None:
         tracker = ChangeTracker()
         for current, count in [
             (limit(0), 1),
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -31,16 +31,19 @@
 DISCOVERY_DOWN_S = 6.0
 
 
-def scenario(how: str, *more: FaultConfig, discovery_down: bool = True) -> Scenario:
-    """Return a scenario in which two thirds of twelve proxies are killed; `how` says what happens to their
-    stores. With `discovery_down`, discovery is down from before the kill to the end of the run."""
-    faults = [FaultConfig("kill-many", KILLED_AT_S, RESTARTED_AFTER_S, 0.67, how=how), *more]
+def kill_scenario(how: str, *more_faults: FaultConfig, discovery_down: bool = True) -> Scenario:
+    """Return a scenario in which two thirds of twelve proxies are killed.
+
+    `how` says what happens to their stores. With `discovery_down`, discovery is down from before the kill to
+    the end of the run.
+    """
+    faults = [FaultConfig("kill-many", KILLED_AT_S, RESTARTED_AFTER_S, 0.67, how=how), *more_faults]
     if discovery_down:
         faults.insert(0, FaultConfig("list-down", KILLED_AT_S - 0.3, DISCOVERY_DOWN_S))
-    made = Scenario(7.0, [LoadPhase(0, 100)], lead_s=1.0, faults=faults)
-    made.proxies = ProxiesConfig(12, store=True, known="none")
-    made.check()
-    return made
+    scenario = Scenario(7.0, [LoadPhase(0, 100)], lead_s=1.0, faults=faults)
+    scenario.proxies = ProxiesConfig(12, store=True, known="none")
+    scenario.check()
+    return scenario
 
 
 def outcomes_from(results: list[Result], at: float) -> Counter[str]:
@@ -52,44 +55,52 @@
     """Without a stored list the killed proxies reject all requests until discovery is back, so these tests
     fail if proxies don't restore it."""
 
-    def test_they_serve_without_discovery_only_if_they_have_their_stores(self) -> None:
+    def test_killed_proxies_serve_without_discovery_only_with_their_stores(self) -> None:
         shares = {}
-        for how in ("kept", "old", "lost", "torn"):
-            with self.subTest(how):
-                found = outcome_of(scenario(how))
-                self.assertFalse(found.broken)
-                outcomes = outcomes_from(found.results, KILLED_AT_S + RESTARTED_AFTER_S + 1.0)
-                shares[how] = outcomes["served"] / sum(outcomes.values())
-        for how, low, high in (("kept", 0.85, 1), ("old", 0.7, 1), ("lost", 0.2, 0.8), ("torn", 0.2, 1)):
-            if how in shares:  # not skipped
-                self.assertTrue(low < shares[how] <= high, (how, shares))
-
-    def test_they_recover_from_a_second_kill_and_damaged_stores_with_discovery_up(self) -> None:
+        for store_condition in ("kept", "old", "lost", "torn"):
+            with self.subTest(store_condition):
+                result = outcome_of(kill_scenario(store_condition))
+                self.assertFalse(result.broken)
+                outcomes = outcomes_from(result.results, KILLED_AT_S + RESTARTED_AFTER_S + 1.0)
+                shares[store_condition] = outcomes["served"] / sum(outcomes.values())
+        for store_condition, low, high in (
+            ("kept", 0.85, 1),
+            ("old", 0.7, 1),
+            ("lost", 0.2, 0.8),
+            ("torn", 0.2, 1),
+        ):
+            if store_condition in shares:  # not skipped
+                self.assertTrue(low < shares[store_condition] <= high, (store_condition, shares))
+
+    def test_proxies_recover_from_a_second_kill_and_damaged_stores_with_discovery_up(self) -> None:
         second_kill = FaultConfig(
             "kill-many", KILLED_AT_S + RESTARTED_AFTER_S + 0.7, RESTARTED_AFTER_S, 0.67, how="flipped"
         )
-        made = scenario("swapped", second_kill, discovery_down=False)
-        made.seconds = 8.5  # the proxies restart at 5.3 s; each polls discovery within 1.9 s of its start
-        found = outcome_of(made)
-        self.assertFalse(found.broken)
-        outcomes = outcomes_from(found.results, 7.5)
+        scenario = kill_scenario("swapped", second_kill, discovery_down=False)
+        scenario.seconds = 8.5  # the proxies restart at 5.3 s; each polls discovery within 1.9 s of its start
+        result = outcome_of(scenario)
+        self.assertFalse(result.broken)
+        outcomes = outcomes_from(result.results, 7.5)
         self.assertGreater(outcomes["served"], 0.85 * sum(outcomes.values()))
-        self.assertGreater(max(one.starts for one in found.proxies), 1)
+        self.assertGreater(max(proxy.starts for proxy in result.proxies), 1)
 
 
 class FrozenProxies(TestCase):
-    def test_they_send_nothing_to_servers_that_drained_meanwhile(self) -> None:
+    def test_resumed_proxies_send_nothing_to_servers_that_drained_meanwhile(self) -> None:
         """Eight of twelve proxies are frozen for 3.5 s; by then discovery's updates from that time are older
         than the grace period."""
-        made = Scenario(6.0, [LoadPhase(0, 100)], lead_s=2.5)
-        made.faults = [FaultConfig("deploy", 0.2, 1.0, 0.4, 0.4, 6.5), FaultConfig("freeze", 1.0, 3.5, 0.67)]
-        made.discovery.notice_s = (1.2, 1.6)
-        made.proxies = ProxiesConfig(12)
-        made.check()
-        found = outcome_of(made)
+        scenario = Scenario(6.0, [LoadPhase(0, 100)], lead_s=2.5)
+        scenario.faults = [
+            FaultConfig("deploy", 0.2, 1.0, 0.4, 0.4, 6.5),
+            FaultConfig("freeze", 1.0, 3.5, 0.67),
+        ]
+        scenario.discovery.notice_s = (1.2, 1.6)
+        scenario.proxies = ProxiesConfig(12)
+        scenario.check()
+        result = outcome_of(scenario)
         # Requests that arrive when the proxies resume may be lost behind their backlog. The test is about
         # decisions on stale lists, so it ignores this rule.
-        self.assertEqual([str(one) for one in found.broken if one.rule != "lost"], [])
+        self.assertEqual([str(violation) for violation in result.broken if violation.rule != "lost"], [])
 
 
 class OperatorsFile(TestCase):
@@ -133,23 +144,23 @@
         self.addCleanup(process.stderr.close)
         return process
 
-    def wait_for_line(self, process: subprocess.Popen[str], part: str) -> str:
+    def wait_for_line(self, process: subprocess.Popen[str], expected_text: str) -> str:
         """Return the first line of the log that contains this text."""
         assert process.stderr
         for line in process.stderr:
-            if part in line:
+            if expected_text in line:
                 return line
-        message = f"the log ended without a line that contains {part!r}"
+        message = f"the log ended without a line that contains {expected_text!r}"
         raise AssertionError(message)
 
-    def test_a_second_process_on_a_store_and_a_bad_file_end_with_one_line_that_says_why(self) -> None:
+    def test_a_locked_store_or_an_invalid_file_ends_the_process_with_a_one_line_error(self) -> None:
         store = self.folder / "n1.store"
-        good = f'[store]\npath = "{self.folder}/{{name}}.store"\n'
-        first = self.start(good)
+        valid_file = f'[store]\npath = "{self.folder}/{{name}}.store"\n'
+        first = self.start(valid_file)
         facts = "source=config stored_age=none recent_starts=0 limits_full=0 limits_partial=0 limits_probe=0"
         self.wait_for_line(first, f"lupinladder: warm_start {facts}\n")
-        for operator_file, part in [
-            (good, f"{store}: another process uses this store; give each proxy a file"),
+        for operator_file, expected_text in [
+            (valid_file, f"{store}: another process uses this store; give each proxy a file"),
             ("[store]\npath = 'here'\n", "operator.toml:2: store.path: expected a path from the root"),
             (
                 "[store]\npath = '/x'\nsize = 5\n",
@@ -160,7 +171,7 @@
             ("[store\n", "operator.toml:1: not TOML"),
         ]:
             other = self.start(operator_file)
-            line = self.wait_for_line(other, part)
+            line = self.wait_for_line(other, expected_text)
             self.assertEqual((other.wait(), line.count("\n")), (2, 1), operator_file)
         first.terminate()
         self.wait_for_line(first, "shutdown_finished")
@@ -183,52 +194,57 @@
             store.put(records.EndpointListRecord(4, 0.0, 0, [{"name": "s-1"}]))
             store.put(records.LimitRecord("s-1", 0.0, 0.0, 16, 50.0, 3.0))
             store.flush(0.0)
-            code, text = self.invoke("store", "cut", str(path))
-            self.assertEqual((code, "a process uses this store" in text), (2, True))
+            code, output = self.invoke("store", "cut", str(path))
+            self.assertEqual((code, "a process uses this store" in output), (2, True))
             store.close(0.0)
-            code, text = self.invoke("store", "show", str(path))
+            code, output = self.invoke("store", "show", str(path))
             self.assertEqual(
-                (code, "list 4: 1 servers" in text, "good for nothing" in text), (0, True, True), text
+                (code, "list 4: 1 servers" in output, "good for nothing" in output), (0, True, True), output
             )
-            code, text = self.invoke("store", "show", str(path), "--json")
-            self.assertEqual(json.loads(text)["limits"][0]["samples"], 16)
+            code, output = self.invoke("store", "show", str(path), "--json")
+            self.assertEqual(json.loads(output)["limits"][0]["samples"], 16)
             self.assertEqual(self.invoke("store", "check", str(path))[0], 0)
-            whole = path.read_bytes()
-            path.write_bytes(whole[:-3])
-            code, text = self.invoke("store", "check", str(path))
-            self.assertEqual((code, f"of {len(whole) - 3}" in text), (1, True), text)
+            intact = path.read_bytes()
+            path.write_bytes(intact[:-3])
+            code, output = self.invoke("store", "check", str(path))
+            self.assertEqual((code, f"of {len(intact) - 3}" in output), (1, True), output)
             self.assertEqual(self.invoke("store", "cut", str(path))[0], 0)
             self.assertEqual(self.invoke("store", "check", str(path))[0], 0)
             path.write_bytes(b"no store")
-            for verb in ("show", "cut"):
-                code, text = self.invoke("store", verb, str(path))
-                self.assertEqual((code, "it is no store" in text), (2, True), text)
+            for command in ("show", "cut"):
+                code, output = self.invoke("store", command, str(path))
+                self.assertEqual((code, "it is no store" in output), (2, True), output)
             self.assertEqual(self.invoke("store", "show", folder + "/none")[0], 2)
 
-    def test_seeds_that_cannot_be_used_are_an_error_of_one_line(self) -> None:
+    def test_invalid_seeds_are_reported_in_one_line(self) -> None:
         for seeds in ("x", "5-2", "1-y"):
-            code, text = self.invoke("lab", "comeback", "--seeds", seeds)
-            self.assertEqual((code, "expected a seed" in text.replace("\n", " ")), (2, True), text)
+            code, output = self.invoke("lab", "comeback", "--seeds", seeds)
+            self.assertEqual((code, "expected a seed" in output.replace("\n", " ")), (2, True), output)
 
 
-class Measures(TestCase):
-    def test_full_service_begins_where_the_next_two_seconds_are_as_before(self) -> None:
-        made = restart_recovery.scenario(4, 0.5, "kept", "up", 1)
+class Measurements(TestCase):
+    def test_full_service_starts_when_the_next_two_seconds_are_normal(self) -> None:
+        measured_scenario = restart_recovery.scenario(4, 0.5, "kept", "up", 1)
 
-        def results(bad: tuple[float, float]) -> list[Result]:
-            times = [n / 50 for n in range(round(made.seconds * 50))]
+        def results(failing_span: tuple[float, float]) -> list[Result]:
+            times = [n / 50 for n in range(round(measured_scenario.seconds * 50))]
             return [
-                Result(at, 0, "failed" if bad[0] <= at < bad[1] else "served", 50.0, 1, 0) for at in times
+                Result(at, 0, "failed" if failing_span[0] <= at < failing_span[1] else "served", 50.0, 1, 0)
+                for at in times
             ]
 
         killed = restart_recovery.KILLED_S
         self.assertAlmostEqual(
-            restart_recovery.full_after(results((killed, killed + 3)), made) or 0, 3.0, delta=0.06
+            restart_recovery.full_after(results((killed, killed + 3)), measured_scenario) or 0,
+            3.0,
+            delta=0.06,
+        )
+        self.assertEqual(restart_recovery.full_after(results((0, 0)), measured_scenario), 0.0)
+        self.assertIsNone(
+            restart_recovery.full_after(results((killed, measured_scenario.seconds)), measured_scenario)
         )
-        self.assertEqual(restart_recovery.full_after(results((0, 0)), made), 0.0)
-        self.assertIsNone(restart_recovery.full_after(results((killed, made.seconds)), made))
 
-    def test_the_highest_second_may_begin_at_any_tenth(self) -> None:
+    def test_the_highest_second_may_start_at_any_tenth_of_a_second(self) -> None:
         rate = Counter({15: 4, 24: 5, 40: 1})
         self.assertEqual(restart_recovery.highest(rate, 0, 5), 9)
         self.assertEqual(restart_recovery.highest(rate, 3, 5), 1)
--- a/tests/recovery/test_warm_start.py
+++ b/tests/recovery/test_warm_start.py
@@ -52,10 +52,12 @@
     return plan_warm_start({"index": 5, "snapshot": True, "endpoints": endpoints}, state, NOW, ORIGIN)
 
 
-def restore_modes(start: WarmStart) -> dict[str, str]:
+def restore_modes(warm_start: WarmStart) -> dict[str, str]:
     """Return the restore mode of each server's limit."""
     return {
-        event.server.decode(): event.mode.value for event in start.events if isinstance(event, LimitRestored)
+        event.server.decode(): event.mode.value
+        for event in warm_start.events
+        if isinstance(event, LimitRestored)
     }
 
 
@@ -68,13 +70,16 @@
             (10 * HOUR_MS, Source.STORE, {"a": "trial", "b": "trial", "c": "trial", "o": "trial"}),
             (9 * 24 * HOUR_MS, Source.CONFIG, {}),
         ]:
-            start = plan(stored_state(age))
-            self.assertEqual((start.source, restore_modes(start)), (source, modes), age)
-            self.assertEqual(start.generation, 3 if source is Source.STORE else 4)
-        older = plan(stored_state(SECOND_MS, index=4))
-        self.assertEqual((older.source, restore_modes(older)), (Source.CONFIG, {"a": "all", "o": "all"}))
+            warm_start = plan(stored_state(age))
+            self.assertEqual((warm_start.source, restore_modes(warm_start)), (source, modes), age)
+            self.assertEqual(warm_start.generation, 3 if source is Source.STORE else 4)
+        with_older_list = plan(stored_state(SECOND_MS, index=4))
+        self.assertEqual(
+            (with_older_list.source, restore_modes(with_older_list)),
+            (Source.CONFIG, {"a": "all", "o": "all"}),
+        )
 
-    def test_a_limit_of_another_process_is_void_and_a_failing_server_is_only_probed(self) -> None:
+    def test_a_limit_of_an_earlier_process_is_unusable_and_a_failing_server_is_only_probed(self) -> None:
         restarted = plan(stored_state(SECOND_MS, server_started_at=2.0))
         self.assertEqual(restore_modes(restarted), {"o": "all"})
         failing = plan(stored_state(SECOND_MS, failure_rate=0.9))
@@ -83,14 +88,14 @@
     def test_the_load_of_slots_is_restored_for_seconds_only(self) -> None:
         for age, slot_load in [(SECOND_MS, {7: 4.0}), (10 * SECOND_MS, {7: 2.0}), (10 * MINUTE_MS, None)]:
             events = plan(stored_state(age)).events
-            found = [event.slot_load for event in events if isinstance(event, SlotLoadRestored)]
-            self.assertEqual(found, [slot_load] if slot_load else [])
+            restored_loads = [event.slot_load for event in events if isinstance(event, SlotLoadRestored)]
+            self.assertEqual(restored_loads, [slot_load] if slot_load else [])
 
 
 class BalancerAtAWarmStart(TestCase):
     def proxy(self, *events: Event) -> Proxy:
-        conf = balancer_harness.settings(balancer_count=1)
-        proxy = Proxy(Balancer(conf, 1, 0.0), conf)
+        config = balancer_harness.settings(balancer_count=1)
+        proxy = Proxy(Balancer(config, 1, 0.0), config)
         proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(4)))
         for event in events:
             proxy.feed(event)
@@ -98,8 +103,8 @@
 
     def test_a_restored_limit_is_used_as_its_mode_allows(self) -> None:
         server = entries(4)[0].server
-        whole = self.proxy().balancer.members[server].limiter
-        self.assertEqual(whole.max_concurrency, float("inf"))
+        unlimited = self.proxy().balancer.members[server].limiter
+        self.assertEqual(unlimited.max_concurrency, float("inf"))
         limits = {}
         for mode in RestoreMode:
             limiter = self.proxy(LimitRestored(server, mode, 50.0, 0.1)).balancer.members[server].limiter
@@ -113,9 +118,11 @@
 
     def test_a_limit_is_not_restored_if_one_is_known_or_the_server_is_warming_up_or_not_listed(self) -> None:
         server = entries(4)[0].server
-        cold = EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(server, started_at=1.0)])
+        restarted_server = EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(server, started_at=1.0)])
         proxy = self.proxy(
-            cold, LimitRestored(server, RestoreMode.FULL, 50.0, 0.1), LimitRestored(b"none", RestoreMode.FULL)
+            restarted_server,
+            LimitRestored(server, RestoreMode.FULL, 50.0, 0.1),
+            LimitRestored(b"none", RestoreMode.FULL),
         )
         self.assertEqual(proxy.balancer.members[server].limiter.max_concurrency, 1.0)
         proxy = self.proxy(
@@ -123,7 +130,7 @@
         )
         self.assertEqual(proxy.balancer.members[server].limiter.max_concurrency, 1.0)
 
-    def test_slots_whose_load_is_restored_are_split_from_the_first_request_on(self) -> None:
+    def test_slots_with_restored_load_are_split_from_the_first_request(self) -> None:
         proxy = self.proxy(SlotLoadRestored({5: 40.0, -1: 9.0, 1 << 40: 9.0}))
         self.assertEqual(proxy.balancer.slots.load.by_slot, {5: 40.0})
         self.assertGreater(proxy.balancer.slots.owner_count(5), 1)
--- a/tests/store/test_file_store.py
+++ b/tests/store/test_file_store.py
@@ -70,16 +70,20 @@
         self.fill(store, 1, 0.0)
         store.close(0)
         for owner in (StoreOwner("n2", "site"), StoreOwner("n1", "other")):
-            before = records.fold(file_store.peek(self.path))
-            assert before
+            previous_state = records.fold(file_store.peek(self.path))
+            assert previous_state
             other = self.open(owner=owner)
             self.assertIsNone(other.loaded)
             other.close(0)
-            whose = {"path": self.path, "proxy": before.owner.proxy, "deployment": before.owner.deployment}
-            self.assertEqual(self.events.pop(), ("store_of_another_owner", whose))
+            expected_fields = {
+                "path": self.path,
+                "proxy": previous_state.owner.proxy,
+                "deployment": previous_state.owner.deployment,
+            }
+            self.assertEqual(self.events.pop(), ("store_of_another_owner", expected_fields))
             self.assertTrue(self.path.with_name("n1.store.unused").exists())
 
-    def test_a_folder_that_is_missing_is_an_error_of_one_line(self) -> None:
+    def test_a_missing_folder_is_an_error_with_a_one_line_message(self) -> None:
         self.path = self.path.parent / "none" / "n1.store"
         with self.assertRaisesRegex(StoreError, "No such file or directory; the store needs a folder"):
             self.open()
@@ -95,19 +99,21 @@
                 self.fill(store, 1, 0.0)
                 store.close(0.0)
                 file_system = FaultyFileSystem(steps, written_share=written_share)
-                finished = 1
+                last_flushed = 1
                 try:
                     store = self.open(file_system)
                     for version in (2, 3, 4):
                         self.fill(store, version, version * 1000.0)
-                        finished = version
+                        last_flushed = version
                     store.close(9000.0)
                 except ProcessEnded:
                     os.close(store._lock)  # the end of a process closes its descriptors
-                found = versions(self.read())
+                stored_versions = versions(self.read())
                 # All records have the same version: the last that was flushed, or the one being written.
-                self.assertEqual((len(found), len(set(found))), (8, 1), steps)
-                self.assertIn(found[0], {float(finished), float(min(finished + 1, 4))}, steps)
+                self.assertEqual((len(stored_versions), len(set(stored_versions))), (8, 1), steps)
+                self.assertIn(
+                    stored_versions[0], {float(last_flushed), float(min(last_flushed + 1, 4))}, steps
+                )
                 self.path.unlink()
 
     def test_a_disk_that_fails_for_a_while_loses_only_the_records_of_that_time(self) -> None:
@@ -120,8 +126,8 @@
                 self.fill(store, version, version * 1000.0)
             facts = {"path": self.path, "error": os.strerror(error_number)}
             self.assertEqual(self.events, [("store_write_failed", facts)])  # once, not at each flush
-            found = versions(self.read())
-            self.assertLessEqual(set(found), {1.0, 2.0})
+            stored_versions = versions(self.read())
+            self.assertLessEqual(set(stored_versions), {1.0, 2.0})
             file_system.steps = UNLIMITED
             self.fill(store, 9, 9000.0)
             self.assertEqual(set(versions(self.read())), {9.0})
@@ -129,22 +135,22 @@
             self.events.clear()
             self.path.unlink()
 
-    def test_what_a_failed_flush_held_is_written_by_the_next_one_and_at_the_close(self) -> None:
-        for ends in ("flush", "close"):
+    def test_records_of_a_failed_flush_are_written_by_the_next_flush_or_the_close(self) -> None:
+        for written_by in ("flush", "close"):
             file_system = FaultyFileSystem(error_number=errno.EIO)
             store = self.open(file_system)
             self.fill(store, 1, 0.0)
             file_system.steps = 0
             self.fill(store, 2, 2000.0)
             file_system.steps = UNLIMITED  # the disk works again; no new record is put
-            if ends == "flush":
+            if written_by == "flush":
                 store.flush(9000.0)
                 self.assertEqual(set(versions(self.read())), {2.0})
             store.close(9000.0)
-            self.assertEqual(set(versions(self.read())), {2.0}, ends)
+            self.assertEqual(set(versions(self.read())), {2.0}, written_by)
             self.path.unlink()
 
-    def test_a_close_that_fails_ends_the_descriptor_all_the_same(self) -> None:
+    def test_a_descriptor_whose_close_fails_is_not_closed_again(self) -> None:
         closed = list[int]()
 
         class FailingClose(FaultyFileSystem):
@@ -160,10 +166,10 @@
             if len(closed) >= 2:
                 break
         self.assertEqual(len(closed), 2)
-        kept = os.open(self.path, os.O_RDONLY)  # reuses the released descriptor
-        self.addCleanup(os.close, kept)
+        reused_descriptor = os.open(self.path, os.O_RDONLY)  # gets the number of the released descriptor
+        self.addCleanup(os.close, reused_descriptor)
         store.close(1e9)
-        self.assertNotIn(kept, closed[2:])
+        self.assertNotIn(reused_descriptor, closed[2:])
         self.assertEqual(len(set(versions(self.read()))), 1)
 
 
@@ -181,7 +187,7 @@
         self.assertEqual(facts["damage"], "a record is cut short, or its length is damaged")
         reopened.close(0)
 
-    def test_a_file_without_a_valid_beginning_is_quarantined(self) -> None:
+    def test_a_file_without_a_valid_header_is_quarantined(self) -> None:
         self.path.write_bytes(b"no store")
         store = self.open()
         self.assertIsNone(store.loaded)
--- a/tests/store/test_record_log.py
+++ b/tests/store/test_record_log.py
@@ -32,16 +32,16 @@
 def damaged(data: bytes, rng: random.Random) -> bytes:
     """Return the data with flipped bits, truncated, or with a block overwritten, removed or duplicated."""
     changed = bytearray(data)
-    damage = rng.randrange(4)
-    if damage == 0:
+    damage_kind = rng.randrange(4)
+    if damage_kind == 0:
         for _ in range(rng.choice((1, 1, 2, 9))):
             changed[rng.randrange(len(changed))] ^= 1 << rng.randrange(8)
-    elif damage == 1:
+    elif damage_kind == 1:
         del changed[rng.randrange(len(changed)) :]
     else:
         start = rng.randrange(len(changed))
         size = rng.randrange(1, 400)
-        if damage == 2:  # overwrite with a block of the same file
+        if damage_kind == 2:  # overwrite with a block of the same file
             source = rng.randrange(len(changed))
             changed[start : start + size] = data[source : source + size]
         else:  # duplicate or remove a block
@@ -55,16 +55,16 @@
         store = self.open()
         for version in range(1, 4):
             self.fill(store, version, version * 1000.0)
-        good = self.path.read_bytes()
+        intact = self.path.read_bytes()
         store.close(4000.0)
-        whole = record_log.scan(good)
-        self.assertFalse(whole.damage)
+        intact_result = record_log.scan(intact)
+        self.assertFalse(intact_result.damage)
         rng = random.Random(7)
-        shortened = 0
+        truncated_count = 0
         for _ in range(10_000):
-            found = record_log.scan(damaged(good, rng))
-            records.fold(found)
+            result = record_log.scan(damaged(intact, rng))
+            records.fold(result)
             # The records that are read are a prefix of those that were written.
-            self.assertEqual(found.records, whole.records[: len(found.records)])
-            shortened += len(found.records) < len(whole.records)
-        self.assertGreater(shortened, 5_000)
+            self.assertEqual(result.records, intact_result.records[: len(result.records)])
+            truncated_count += len(result.records) < len(intact_result.records)
+        self.assertGreater(truncated_count, 5_000)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -35,9 +35,9 @@
             + records.encode(4, limit_record(1, 3))
             + record_log.end(5)
         )
-        newer = record_log.begin(1, {"proxy": "n1", "site": "site", "starts": [], "later": 1})
+        newer_file = record_log.begin(1, {"proxy": "n1", "site": "site", "starts": [], "later": 1})
         # An owner with an unknown field was written by a newer program version.
-        self.assertIsNone(records.fold(record_log.scan(newer + flush)))
+        self.assertIsNone(records.fold(record_log.scan(newer_file + flush)))
         state = records.fold(record_log.scan(record_log.begin(1, {"proxy": "n1", "site": "site"}) + flush))
         assert state
         self.assertEqual(list(state.limits), ["s-1"])
--- a/tests/store/test_store_compatibility.py
+++ b/tests/store/test_store_compatibility.py
@@ -25,8 +25,8 @@
 )
 
 FIXTURES = Path(__file__).parent / "fixtures"
-WRITTEN = FIXTURES / "store-69eb350.store"
-REOPENED = FIXTURES / "store-69eb350-reopened.store"
+WRITTEN_STORE = FIXTURES / "store-69eb350.store"
+REOPENED_STORE = FIXTURES / "store-69eb350-reopened.store"
 START_MS = 1_700_000_000_000.0
 REOPENED_MS = START_MS + 60_000.0
 DEPLOYMENT = "0123456789abcdef"
@@ -161,32 +161,35 @@
 
 class StoreOfAnEarlierVersion(TestCase):
     def test_every_record_is_read_as_it_was_written(self) -> None:
-        for path, expected in ((WRITTEN, RECORDS), (REOPENED, RECORDS_REOPENED)):
+        for path, expected in ((WRITTEN_STORE, RECORDS), (REOPENED_STORE, RECORDS_REOPENED)):
             scan = file_store.peek(path)
             self.assertEqual((scan.damage, scan.valid_bytes, scan.version), ("", path.stat().st_size, 1))
-            self.assertEqual([(one.number, one.record_type, one.body) for one in scan.records], expected)
+            self.assertEqual(
+                [(record.sequence_number, record.record_type, record.body) for record in scan.records],
+                expected,
+            )
 
-    def test_the_state_holds_the_latest_record_of_each_thing(self) -> None:
-        for path, starts in ((WRITTEN, [START_MS]), (REOPENED, [START_MS, REOPENED_MS])):
+    def test_the_state_holds_the_latest_record_of_each_key(self) -> None:
+        for path, starts in ((WRITTEN_STORE, [START_MS]), (REOPENED_STORE, [START_MS, REOPENED_MS])):
             state = records.fold(file_store.peek(path))
             assert state
             owner = {"proxy": "n1", "site": DEPLOYMENT, "starts": starts}
             self.assertEqual(msgspec.to_builtins(state.owner), owner)
-            kept = [msgspec.to_builtins(one, str_keys=False) for one in state.all()]
+            stored = [msgspec.to_builtins(record, str_keys=False) for record in state.all()]
             expected = [CONFIRMED_LIST, LATER_SLOTS, ORIGIN_LIMIT, SECOND_LIMIT, FIRST_LIMIT_LATER]
-            self.assertEqual(kept, expected)
+            self.assertEqual(stored, expected)
 
 
-class StoreWrittenNow(TestCase):
+class StoreOfThisVersion(TestCase):
     def test_the_same_calls_write_the_same_bytes(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n1.store"
             write_sample_store(path)
-            self.assertEqual(path.read_bytes(), WRITTEN.read_bytes())
+            self.assertEqual(path.read_bytes(), WRITTEN_STORE.read_bytes())
 
     def test_a_store_of_the_earlier_version_is_rewritten_with_the_same_bytes(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n1.store"
-            path.write_bytes(WRITTEN.read_bytes())
+            path.write_bytes(WRITTEN_STORE.read_bytes())
             open_store(path, REOPENED_MS).close(REOPENED_MS)
-            self.assertEqual(path.read_bytes(), REOPENED.read_bytes())
+            self.assertEqual(path.read_bytes(), REOPENED_STORE.read_bytes())
