--- a/lupinladder/net/state_persister.py
+++ b/lupinladder/net/state_persister.py
@@ -136,11 +136,11 @@
         self._interval_ms = settings.every_ms
         store = _open_store(config, settings, now)
         origin_type = config.kinds[config.origin_kind] if 0 <= config.origin_kind < len(config.kinds) else ""
-        self.beginning: WarmStart = plan_warm_start(config.known, store.loaded, now, origin_type)
+        self.warm_start: WarmStart = plan_warm_start(config.known, store.loaded, now, origin_type)
         self._recent_starts = sum(now - started_at < MINUTE_MS for started_at in store.starts)
         self._change_tracker = ChangeTracker()
         self._list_index = NO_LIST_INDEX
-        self._generation = self.beginning.generation
+        self._generation = self.warm_start.generation
         self._writer = StoreWriter(store, lambda: time.monotonic() * 1000 + clock_offset_ms)
 
     def start(self, loop: EventLoop, dispatcher: RequestDispatcher, registry: EndpointRegistry) -> None:
@@ -161,10 +161,10 @@
 
     def warm_start_facts(self) -> dict[str, object]:
         """Return the fields of the log event `warm_start`, which describe the restored state."""
-        stored_age = self.beginning.stored_age
-        restored = self.beginning.limits_restored
+        stored_age = self.warm_start.stored_age
+        restored = self.warm_start.limits_restored
         return {
-            "source": self.beginning.source.name.lower(),
+            "source": self.warm_start.source.name.lower(),
             "stored_age": "none" if stored_age is None else format_age(stored_age),
             "recent_starts": self._recent_starts,  # earlier starts within the last minute
             "limits_full": restored.get(Usability.FULL, 0),
--- a/lupinladder/proxy.py
+++ b/lupinladder/proxy.py
@@ -94,7 +94,7 @@
         if self._persister is None:
             self.dispatcher.start(self._registry.load_cached(self._conf.known))
             return
-        warm_start = self._persister.beginning
+        warm_start = self._persister.warm_start
         self.dispatcher.start(self._registry.load_cached(warm_start.known))
         for event in warm_start.events:
             self.dispatcher.notify(event)
