--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -32,7 +32,7 @@
     bytes_written: float = 0.0
 
 
-def ignore_event(event: str, /, **facts: object) -> None:
+def ignore_event(event: str, /, **fields: object) -> None:
     """Nothing is reported of a store that works."""
 
 
--- a/lupinladder/net/invariants.py
+++ b/lupinladder/net/invariants.py
@@ -36,13 +36,13 @@
     CLOSED_OWING_NOTHING = "closed_owing_nothing"
 
 
-def report_violation(invariant: Invariant, request: PendingRequest | None = None, **facts: object) -> None:
+def report_violation(invariant: Invariant, request: PendingRequest | None = None, **fields: object) -> None:
     """Count a broken rule and log it with the request's history."""
     metrics.invariant_violations[invariant] += 1
     if request is not None:
-        facts["request"] = request.request_id
-        facts["history"] = request.history()
-    log_event("invariant_violated", invariant=invariant, **facts)
+        fields["request"] = request.request_id
+        fields["history"] = request.history()
+    log_event("invariant_violated", invariant=invariant, **fields)
 
 
 class InvariantMonitor:
--- a/lupinladder/net/log.py
+++ b/lupinladder/net/log.py
@@ -28,7 +28,7 @@
 _rates: dict[str, _Rate] = {}
 
 
-def log_event(event: str, /, **facts: object) -> None:
+def log_event(event: str, /, **fields: object) -> None:
     """Print one line of this event, unless too many were printed in this second. Never raises for an output
     that is closed."""
     second = int(time.monotonic())
@@ -40,10 +40,10 @@
         rate.suppressed += 1
         return
     if rate.suppressed:
-        facts["suppressed"] = rate.suppressed
+        fields["suppressed"] = rate.suppressed
     rate.printed += 1
     rate.suppressed = 0
-    line = " ".join([event, *(f"{name}={_format_value(value)}" for name, value in facts.items())])
+    line = " ".join([event, *(f"{name}={_format_value(value)}" for name, value in fields.items())])
     with suppress(OSError):  # whoever read the log may be gone; the proxy serves on
         print(f"lupinladder: {line}", file=sys.stderr, flush=True)
 
--- a/lupinladder/net/state_persister.py
+++ b/lupinladder/net/state_persister.py
@@ -145,7 +145,7 @@
 
     def start(self, loop: EventLoop, dispatcher: RequestDispatcher, registry: EndpointRegistry) -> None:
         """Log the source of the restored state, and store changes from now on."""
-        log_event("warm_start", **self.warm_start_facts())
+        log_event("warm_start", **self.warm_start_fields())
         self._loop = loop
         self._dispatcher = dispatcher
         self._registry = registry
@@ -159,7 +159,7 @@
         self._writer.write(self._collect_changes(self._loop.now()))
         self._writer.finish(CLOSE_TIMEOUT_S)
 
-    def warm_start_facts(self) -> dict[str, object]:
+    def warm_start_fields(self) -> dict[str, object]:
         """Return the fields of the log event `warm_start`, which describe the restored state."""
         stored_age = self.warm_start.stored_age
         restored = self.warm_start.limits_restored
--- a/lupinladder/store/file_store.py
+++ b/lupinladder/store/file_store.py
@@ -62,7 +62,7 @@
 class EventReporter(Protocol):
     """Reports an event and its fields to the operator, as `log_event` does."""
 
-    def __call__(self, event: str, /, **facts: object) -> None:
+    def __call__(self, event: str, /, **fields: object) -> None:
         """Report one event."""
 
 
@@ -310,8 +310,8 @@
         self._file_is_intact = False
         self._set_error("store_write_failed", path=self._path, error=error.strerror)
 
-    def _set_error(self, event: str, **facts: object) -> None:
+    def _set_error(self, event: str, **fields: object) -> None:
         """Report an error unless it is the same as the last one, so that it is not repeated at each flush."""
-        if (event, facts) != self._error:
-            self._report(event, **facts)
-        self._error = (event, facts)
+        if (event, fields) != self._error:
+            self._report(event, **fields)
+        self._error = (event, fields)
--- a/tests/net/test_state_persister.py
+++ b/tests/net/test_state_persister.py
@@ -60,7 +60,7 @@
             "limits_partial": 0,
             "limits_probe": 0,
         }
-        self.assertEqual(self.persister().warm_start_facts(), expected)
+        self.assertEqual(self.persister().warm_start_fields(), expected)
 
     def test_with_a_store_the_stored_list_and_limits_are_used(self) -> None:
         proxy_config = load_configuration()
@@ -70,7 +70,7 @@
         store.put(LimitRecord("s-1", started_at, NOW - 1_500.0, 16, 5.0, 9.0))
         store.close(NOW - 1_500.0)
         with mock.patch.object(state_persister, "log_event") as logged:
-            facts = self.persister().warm_start_facts()
+            fields = self.persister().warm_start_fields()
         logged.assert_not_called()  # a valid store is opened without log events
         expected = {
             "source": "store",
@@ -80,7 +80,7 @@
             "limits_partial": 0,
             "limits_probe": 0,
         }
-        self.assertEqual(facts, expected)
+        self.assertEqual(fields, expected)
 
 
 class UnavailableStore(StoreTestCase):
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -157,8 +157,8 @@
         store = self.folder / "n1.store"
         valid_file = f'[store]\npath = "{self.folder}/{{name}}.store"\n'
         first = self.start(valid_file)
-        facts = "source=config stored_age=none recent_starts=0 limits_full=0 limits_partial=0 limits_probe=0"
-        self.wait_for_line(first, f"lupinladder: warm_start {facts}\n")
+        fields = "source=config stored_age=none recent_starts=0 limits_full=0 limits_partial=0 limits_probe=0"
+        self.wait_for_line(first, f"lupinladder: warm_start {fields}\n")
         for operator_file, expected_text in [
             (valid_file, f"{store}: another process uses this store; give each proxy a file"),
             ("[store]\npath = 'here'\n", "operator.toml:2: store.path: expected a path from the root"),
--- a/tests/store/test_file_store.py
+++ b/tests/store/test_file_store.py
@@ -52,8 +52,8 @@
         for version in range(3):
             self.fill(store, version, version * 1000.0)
         self.assertEqual(len(self.events), 1, self.events)
-        event, facts = self.events[0]
-        self.assertEqual((event, facts["path"], facts["max_bytes"]), ("store_too_large", self.path, 1000))
+        event, fields = self.events[0]
+        self.assertEqual((event, fields["path"], fields["max_bytes"]), ("store_too_large", self.path, 1000))
         self.assertLess(self.path.stat().st_size, 1_000)
 
 
@@ -124,8 +124,8 @@
             file_system.steps = 0
             for version in range(2, 9):
                 self.fill(store, version, version * 1000.0)
-            facts = {"path": self.path, "error": os.strerror(error_number)}
-            self.assertEqual(self.events, [("store_write_failed", facts)])  # once, not at each flush
+            fields = {"path": self.path, "error": os.strerror(error_number)}
+            self.assertEqual(self.events, [("store_write_failed", fields)])  # once, not at each flush
             stored_versions = versions(self.read())
             self.assertLessEqual(set(stored_versions), {1.0, 2.0})
             file_system.steps = UNLIMITED
@@ -182,9 +182,9 @@
         self.path.write_bytes(self.path.read_bytes()[:-1])  # truncates the second flush
         reopened = self.open()
         self.assertEqual(set(versions(reopened.loaded)), {1.0})
-        [(event, facts)] = self.events
-        self.assertEqual((event, facts["path"]), ("store_damaged", self.path))
-        self.assertEqual(facts["damage"], "a record is cut short, or its length is damaged")
+        [(event, fields)] = self.events
+        self.assertEqual((event, fields["path"]), ("store_damaged", self.path))
+        self.assertEqual(fields["damage"], "a record is cut short, or its length is damaged")
         reopened.close(0)
 
     def test_a_file_without_a_valid_header_is_quarantined(self) -> None:
--- a/tests/store/test_store_compatibility.py
+++ b/tests/store/test_store_compatibility.py
@@ -136,8 +136,8 @@
 def open_store(path: Path, now: float) -> Store:
     """Open the sample proxy's store; the test fails if it reports any event."""
 
-    def fail(event: str, /, **facts: object) -> None:
-        message = f"{event}: {facts}"
+    def fail(event: str, /, **fields: object) -> None:
+        message = f"{event}: {fields}"
         raise AssertionError(message)
 
     return Store(path, StoreOwner("n1", DEPLOYMENT), now, fail)
--- a/tests/support/store_scene.py
+++ b/tests/support/store_scene.py
@@ -106,8 +106,8 @@
         self.path = Path(folder.name) / "n1.store"
         self.events: list[tuple[str, dict[str, object]]] = []
 
-    def report(self, event: str, /, **facts: object) -> None:
-        self.events.append((event, facts))
+    def report(self, event: str, /, **fields: object) -> None:
+        self.events.append((event, fields))
 
     def open(
         self,
