--- a/lupinladder/emulator/store_corruption.py
+++ b/lupinladder/emulator/store_corruption.py
@@ -17,11 +17,11 @@
     state = records.fold(record_log.scan(data))
     if state is None:
         return data
-    parts = [record_log.begin(1, msgspec.to_builtins(state.owner))]
+    parts = [record_log.file_header(1, msgspec.to_builtins(state.owner))]
     for number, record in enumerate(state.all(), 2):
         older = msgspec.structs.replace(record, at=record.at - age_ms)  # type: ignore[attr-defined]
         parts.append(records.encode(number, older))
-    return b"".join([*parts, record_log.end(len(parts) + 1)])
+    return b"".join([*parts, record_log.flush_end(len(parts) + 1)])
 
 
 def corrupt_stores(paths: list[Path], how: str, rng: np.random.Generator) -> None:
--- a/lupinladder/store/file_store.py
+++ b/lupinladder/store/file_store.py
@@ -222,15 +222,15 @@
             data = self._encode(self._pending.pop(key))
             parts.append(data)
             size += len(data)
-        parts.append(self._encode_end())
+        parts.append(self._encode_flush_end())
         return b"".join(parts)
 
     def _encode_snapshot(self) -> bytes:
         """Return the whole state encoded as the content of a new file."""
         self._last_sequence_number += 1
-        parts = [record_log.begin(self._last_sequence_number, msgspec.to_builtins(self.state.owner))]
+        parts = [record_log.file_header(self._last_sequence_number, msgspec.to_builtins(self.state.owner))]
         parts += [self._encode(record) for record in self.state.all()]
-        parts.append(self._encode_end())
+        parts.append(self._encode_flush_end())
         return b"".join(parts)
 
     def _encode(self, record: StoredRecord) -> bytes:
@@ -246,9 +246,9 @@
         self._last_sequence_number += 1
         return data
 
-    def _encode_end(self) -> bytes:
+    def _encode_flush_end(self) -> bytes:
         self._last_sequence_number += 1
-        return record_log.end(self._last_sequence_number)
+        return record_log.flush_end(self._last_sequence_number)
 
     def _append(self, data: bytes) -> int:
         """Append the data, or rewrite the file if it would exceed its maximum size."""
--- a/lupinladder/store/record_log.py
+++ b/lupinladder/store/record_log.py
@@ -23,8 +23,8 @@
 MAGIC = b"LLSTORE\n"
 MAX_BODY_BYTES = 1 << 20  # a list of 4,000 servers takes about 400 KB
 VERSION = 1  # version of the records' content, which is stored in a file's first record
-BEGIN = 0  # type of a file's first record
-END = 255  # type of the record that ends a flush; a flush without one is incomplete
+FILE_HEADER = 0  # type of a file's first record
+FLUSH_END = 255  # type of the record that ends a flush; a flush without one is incomplete
 
 _RECORD_HEADER = struct.Struct("<IIQB")
 _BODY_SIZE = struct.Struct("<I")
@@ -84,14 +84,14 @@
     return _RECORD_HEADER.pack(len(data), checksum, sequence_number, record_type) + data
 
 
-def end(sequence_number: int) -> bytes:
+def flush_end(sequence_number: int) -> bytes:
     """Encode the record that ends a flush. The records of a flush take effect only if it is present."""
-    return encode(sequence_number, END, {})
+    return encode(sequence_number, FLUSH_END, {})
 
 
-def begin(sequence_number: int, owner: Body) -> bytes:
-    """Encode the start of a file: MAGIC and the first record, which holds the owner and the version."""
-    return MAGIC + encode(sequence_number, BEGIN, {**owner, "version": VERSION})
+def file_header(sequence_number: int, owner: Body) -> bytes:
+    """Encode the file header: MAGIC and the first record, which holds the owner and the version."""
+    return MAGIC + encode(sequence_number, FILE_HEADER, {**owner, "version": VERSION})
 
 
 def scan(data: bytes) -> ScanResult:
@@ -110,7 +110,7 @@
         result.damage = str(error)
     if not result.records:
         return ScanResult.unusable(result.damage or "it has no records")
-    if result.records[0].record_type != BEGIN:
+    if result.records[0].record_type != FILE_HEADER:
         return ScanResult.unusable("its first record is not a file header")
     return _migrate(result)
 
--- a/lupinladder/store/records.py
+++ b/lupinladder/store/records.py
@@ -170,7 +170,7 @@
     state = StoredState(owner)
     flush_records = list[StoredRecord]()  # records of a flush that may be incomplete
     for raw_record in scan.records[1:]:
-        if raw_record.record_type == record_log.END:
+        if raw_record.record_type == record_log.FLUSH_END:
             for record in flush_records:
                 state.apply(record)
             flush_records.clear()
--- a/tests/store/test_record_log.py
+++ b/tests/store/test_record_log.py
@@ -11,12 +11,14 @@
 
 class Versions(StoreScene):
     def test_a_newer_version_is_not_read_and_an_older_one_is_migrated(self) -> None:
-        begin = {"proxy": "n1", "site": "site", "starts": []}
+        file_header = {"proxy": "n1", "site": "site", "starts": []}
         with mock.patch.object(record_log, "VERSION", 9):
-            self.path.write_bytes(record_log.begin(1, begin))
+            self.path.write_bytes(record_log.file_header(1, file_header))
         self.assertIn("of version 9", file_store.peek(self.path).damage)
         self.path.write_bytes(
-            record_log.begin(1, begin) + records.encode(2, limit_record(1, 7)) + record_log.end(3)
+            record_log.file_header(1, file_header)
+            + records.encode(2, limit_record(1, 7))
+            + record_log.flush_end(3)
         )
         newer = mock.patch.object(record_log, "VERSION", 2)
         migration = mock.patch.dict(
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -33,11 +33,13 @@
             record_log.encode(2, 99, {"x": 1})
             + record_log.encode(3, 2, {"server": 5})
             + records.encode(4, limit_record(1, 3))
-            + record_log.end(5)
+            + record_log.flush_end(5)
         )
-        newer_file = record_log.begin(1, {"proxy": "n1", "site": "site", "starts": [], "later": 1})
+        newer_file = record_log.file_header(1, {"proxy": "n1", "site": "site", "starts": [], "later": 1})
         # An owner with an unknown field was written by a newer program version.
         self.assertIsNone(records.fold(record_log.scan(newer_file + flush)))
-        state = records.fold(record_log.scan(record_log.begin(1, {"proxy": "n1", "site": "site"}) + flush))
+        state = records.fold(
+            record_log.scan(record_log.file_header(1, {"proxy": "n1", "site": "site"}) + flush)
+        )
         assert state
         self.assertEqual(list(state.limits), ["s-1"])
