--- a/tests/store/test_file_store.py
+++ b/tests/store/test_file_store.py
@@ -12,13 +12,13 @@
     UNLIMITED,
     FaultyFileSystem,
     ProcessEnded,
-    StoreScene,
+    StoreTestCase,
     sample_records,
     versions,
 )
 
 
-class Persistence(StoreScene):
+class Persistence(StoreTestCase):
     def test_a_restart_loads_the_latest_record_of_each_key(self) -> None:
         store = self.open()
         for version in range(1, 40):
@@ -57,7 +57,7 @@
         self.assertLess(self.path.stat().st_size, 1_000)
 
 
-class Ownership(StoreScene):
+class Ownership(StoreTestCase):
     def test_a_second_process_is_rejected_until_the_first_has_ended(self) -> None:
         first = self.open()
         with self.assertRaisesRegex(StoreError, "another process uses this store"):
@@ -89,7 +89,7 @@
             self.open()
 
 
-class Interruption(StoreScene):
+class Interruption(StoreTestCase):
     """Tests in which the process ends or the disk fails at any file system call."""
 
     def test_a_process_that_ends_at_any_step_leaves_the_old_state_or_the_new_one(self) -> None:
@@ -173,7 +173,7 @@
         self.assertEqual(len(set(versions(self.read()))), 1)
 
 
-class DamagedFile(StoreScene):
+class DamagedFile(StoreTestCase):
     def test_the_valid_part_of_a_damaged_store_is_used_and_the_damage_is_reported(self) -> None:
         store = self.open()
         self.fill(store, 1, 1000.0)
--- a/tests/store/test_record_log.py
+++ b/tests/store/test_record_log.py
@@ -6,10 +6,10 @@
 from unittest import mock
 
 from lupinladder.store import file_store, record_log, records
-from tests.support.store_scene import StoreScene, limit_record
+from tests.support.store_scene import StoreTestCase, limit_record
 
 
-class Versions(StoreScene):
+class Versions(StoreTestCase):
     def test_a_newer_version_is_not_read_and_an_older_one_is_migrated(self) -> None:
         file_header = {"proxy": "n1", "site": "site", "starts": []}
         with mock.patch.object(record_log, "VERSION", 9):
@@ -52,7 +52,7 @@
     return bytes(changed)
 
 
-class Damage(StoreScene):
+class Damage(StoreTestCase):
     def test_of_a_damaged_file_only_the_valid_records_before_the_damage_are_read(self) -> None:
         store = self.open()
         for version in range(1, 4):
--- a/tests/support/store_scene.py
+++ b/tests/support/store_scene.py
@@ -97,7 +97,7 @@
     return [*of_list, *of_slots, *(limit.at for limit in state.limits.values())]
 
 
-class StoreScene(TestCase):
+class StoreTestCase(TestCase):
     """A store's path in a folder of its own, and the events that were reported."""
 
     def setUp(self) -> None:
