--- a/lupinladder/emulator/store_corruption.py
+++ b/lupinladder/emulator/store_corruption.py
@@ -18,7 +18,7 @@
     if state is None:
         return data
     parts = [record_log.file_header(1, msgspec.to_builtins(state.owner))]
-    for number, record in enumerate(state.all(), 2):
+    for number, record in enumerate(state.all_records(), 2):
         older = msgspec.structs.replace(record, at=record.at - age_ms)  # type: ignore[attr-defined]
         parts.append(records.encode(number, older))
     return b"".join([*parts, record_log.flush_end(len(parts) + 1)])
--- a/lupinladder/store/file_store.py
+++ b/lupinladder/store/file_store.py
@@ -229,7 +229,7 @@
         """Return the whole state encoded as the content of a new file."""
         self._last_sequence_number += 1
         parts = [record_log.file_header(self._last_sequence_number, msgspec.to_builtins(self.state.owner))]
-        parts += [self._encode(record) for record in self.state.all()]
+        parts += [self._encode(record) for record in self.state.all_records()]
         parts.append(self._encode_flush_end())
         return b"".join(parts)
 
--- a/lupinladder/store/records.py
+++ b/lupinladder/store/records.py
@@ -118,7 +118,7 @@
         """Whether the confirmation is for the current list; one for another list is ignored."""
         return self.endpoint_list is not None and self.endpoint_list.index == confirmation.index
 
-    def all(self) -> Iterable[StoredRecord]:
+    def all_records(self) -> Iterable[StoredRecord]:
         """Yield the records that rebuild this state, with the last recorded limit at the end."""
         if self.endpoint_list is not None:
             yield self.endpoint_list
--- a/tests/store/test_store_compatibility.py
+++ b/tests/store/test_store_compatibility.py
@@ -175,7 +175,7 @@
             assert state
             owner = {"proxy": "n1", "site": DEPLOYMENT, "starts": starts}
             self.assertEqual(msgspec.to_builtins(state.owner), owner)
-            stored = [msgspec.to_builtins(record, str_keys=False) for record in state.all()]
+            stored = [msgspec.to_builtins(record, str_keys=False) for record in state.all_records()]
             expected = [CONFIRMED_LIST, LATER_SLOTS, ORIGIN_LIMIT, SECOND_LIMIT, FIRST_LIMIT_LATER]
             self.assertEqual(stored, expected)
 
