--- a/lupinladder/cli/store.py
+++ b/lupinladder/cli/store.py
@@ -142,7 +142,7 @@
         "generation": record.generation,
         "servers": len(record.endpoints),
         "age": format_age(now - record.at),
-        "use": usable_as(RecordType.MEMBER, Source.STORE, record.at, now).label,
+        "use": usable_as(RecordType.ENDPOINT_LIST, Source.STORE, record.at, now).label,
     }
 
 
@@ -160,7 +160,7 @@
 
 
 def _describe_slots(record: SlotLoadRecord, now: float) -> dict[str, Any]:
-    usability = usable_as(RecordType.SLOT, Source.STORE, record.at, now)
+    usability = usable_as(RecordType.SLOT_LOAD, Source.STORE, record.at, now)
     return {"hot": len(record.slot_load), "use": usability.label}
 
 
--- a/lupinladder/recovery/freshness.py
+++ b/lupinladder/recovery/freshness.py
@@ -54,10 +54,10 @@
 class RecordType(IntEnum):
     """What a record is about. These values are not stored, unlike the type numbers of `store.records`."""
 
-    MEMBER = 0  # a server is listed with an address
+    ENDPOINT_LIST = 0  # listed servers and their addresses
     LIMIT = 1  # load that a server could handle
-    HEALTH = 2  # a server was failing
-    SLOT = 3  # a slot had a high load
+    HEALTH = 2  # failure rate of a server
+    SLOT_LOAD = 3  # load of the busiest slots
     ORIGIN = 4  # load that the origin could handle
 
 
@@ -76,14 +76,14 @@
     # Discovery's updates count as delivered after 6 s. During a deploy, servers are added and removed within
     # minutes. A list that is some hours old still names enough running servers to be worth one connection to
     # each; after a week it names none.
-    RecordType.MEMBER: AgeLimits(full=6 * SECOND_MS, partial=10 * MINUTE_MS, probe=7 * DAY_MS),
+    RecordType.ENDPOINT_LIST: AgeLimits(full=6 * SECOND_MS, partial=10 * MINUTE_MS, probe=7 * DAY_MS),
     # Limits are updated by each sample window of about ten seconds, and the load at a time of day stays
     # similar for minutes. The load that a server could handle yesterday shows only that a probe does no harm.
     RecordType.LIMIT: AgeLimits(full=30 * SECOND_MS, partial=15 * MINUTE_MS, probe=DAY_MS),
     # An ejection lasts at most 16 latency objectives; a record of it is useless after that.
     RecordType.HEALTH: AgeLimits(full=5 * SECOND_MS, partial=5 * SECOND_MS, probe=10 * MINUTE_MS),
     # A key has a high load for 5 to 20 seconds.
-    RecordType.SLOT: AgeLimits(full=5 * SECOND_MS, partial=20 * SECOND_MS, probe=20 * SECOND_MS),
+    RecordType.SLOT_LOAD: AgeLimits(full=5 * SECOND_MS, partial=20 * SECOND_MS, probe=20 * SECOND_MS),
     # The origin is one server that runs for months; the load that it can handle depends on the requests.
     RecordType.ORIGIN: AgeLimits(full=30 * SECOND_MS, partial=15 * MINUTE_MS, probe=DAY_MS),
 }
--- a/lupinladder/recovery/warm_start.py
+++ b/lupinladder/recovery/warm_start.py
@@ -84,7 +84,7 @@
         return InitialEndpointList(configured_list, 0, Source.CONFIG)
     index = configured_list.get("index", 0)
     is_numbered = isinstance(index, int)
-    usability = usable_as(RecordType.MEMBER, Source.STORE, stored.at, now)
+    usability = usable_as(RecordType.ENDPOINT_LIST, Source.STORE, stored.at, now)
     if usability and supersedes(stored.index, 0, index if is_numbered else 0, 0):
         tree = {"index": stored.index, "snapshot": True, "endpoints": stored.endpoints}
         return InitialEndpointList(tree, stored.generation, Source.STORE)
@@ -145,7 +145,7 @@
 
 def _restore_slot_load(warm_start: WarmStart, record: SlotLoadRecord, now: float) -> None:
     """Add the event that restores the load of slots, unless its record is too old."""
-    usability = usable_as(RecordType.SLOT, Source.STORE, record.at, now)
+    usability = usable_as(RecordType.SLOT_LOAD, Source.STORE, record.at, now)
     share = SLOT_LOAD_SHARES.get(usability)
     if share is not None:
         restored = {slot: load * share for slot, load in record.slot_load.items()}
@@ -156,7 +156,7 @@
     """Return what a list of this source may be used for, by the age of the stored list."""
     if state.endpoint_list is None:
         return Usability.NONE
-    return usable_as(RecordType.MEMBER, source, state.endpoint_list.at, now)
+    return usable_as(RecordType.ENDPOINT_LIST, source, state.endpoint_list.at, now)
 
 
 def _newest_age(state: StoredState, now: float) -> float | None:
--- a/tests/recovery/test_freshness.py
+++ b/tests/recovery/test_freshness.py
@@ -13,10 +13,10 @@
 HOUR_MS = 3.6e6
 AGES = (SECOND_MS, 10 * SECOND_MS, 10 * MINUTE_MS, 10 * HOUR_MS)
 DOCUMENTED_USABILITY = {  # as in docs/recovery.md
-    RecordType.MEMBER: (Usability.FULL, Usability.PARTIAL, Usability.PARTIAL, Usability.PROBE),
+    RecordType.ENDPOINT_LIST: (Usability.FULL, Usability.PARTIAL, Usability.PARTIAL, Usability.PROBE),
     RecordType.LIMIT: (Usability.FULL, Usability.FULL, Usability.PARTIAL, Usability.PROBE),
     RecordType.HEALTH: (Usability.FULL, Usability.PROBE, Usability.PROBE, Usability.NONE),
-    RecordType.SLOT: (Usability.FULL, Usability.PARTIAL, Usability.NONE, Usability.NONE),
+    RecordType.SLOT_LOAD: (Usability.FULL, Usability.PARTIAL, Usability.NONE, Usability.NONE),
     RecordType.ORIGIN: (Usability.FULL, Usability.FULL, Usability.PARTIAL, Usability.PROBE),
 }
 
