--- a/lupinladder/operator_config/source_lines.py
+++ b/lupinladder/operator_config/source_lines.py
@@ -12,16 +12,16 @@
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
 
-Step = str | int  # element of a path: a key or an array index
-_Path = tuple[Step, ...]
-_STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]")
+PathElement = str | int  # element of a path: a key or an array index
+_Path = tuple[PathElement, ...]
+_PATH_ELEMENT = re.compile(r"\.([^.\[\]]+)|\[(\d+)\]")
 _NON_VALUE_TYPES = ("[", "]", ",", "comment")  # types of an array's child nodes that are not values
 
 
-def parse_path(path: str) -> list[Step]:
+def parse_path(path: str) -> list[PathElement]:
     """Return the elements of a path such as `faults[2].at`: keys and array indexes."""
     dotted = path if path.startswith(".") else "." + path
-    return [int(index) if index else key for key, index in _STEP.findall(dotted)]
+    return [int(index) if index else key for key, index in _PATH_ELEMENT.findall(dotted)]
 
 
 class SourceLines:
@@ -37,7 +37,7 @@
             elif node.type in ("table", "table_array_element"):
                 self._add_table(node)
 
-    def line(self, path: list[Step]) -> int:
+    def line(self, path: list[PathElement]) -> int:
         """Return the line of the value at this path, or of the nearest enclosing table or array."""
         known_path = tuple(path)
         while known_path not in self._lines:
--- a/lupinladder/operator_config/toml_decoder.py
+++ b/lupinladder/operator_config/toml_decoder.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from lupinladder.errors import LupinladderError
-from lupinladder.operator_config.source_lines import SourceLines, Step, parse_path
+from lupinladder.operator_config.source_lines import PathElement, SourceLines, parse_path
 
 T = TypeVar("T")
 # Matches messages of msgspec such as "Expected `int`, got `str` - at `$.faults[2].at`".
@@ -102,6 +102,6 @@
     return TomlError.at_line(name, line, f"{prefix}{problem}")
 
 
-def _format_path(path: list[Step]) -> str:
+def _format_path(path: list[PathElement]) -> str:
     """Return the path as text such as `faults[2].at`."""
-    return "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in path).lstrip(".")
+    return "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in path).lstrip(".")
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -12,7 +12,7 @@
 from lupinladder.emulator.scenario import Scenario
 from lupinladder.emulator.workload import ArrivalPlan, KeyDistribution
 from lupinladder.operator_config import toml_decoder
-from lupinladder.operator_config.source_lines import SourceLines, Step
+from lupinladder.operator_config.source_lines import PathElement, SourceLines
 
 VALID = "seconds = 5\nload = [{ at = 0, rate = 10 }]\n"
 FAULTY = [  # text, line, a part of the message
@@ -63,7 +63,7 @@
             "[[t.in]]\nm = 1\n[[t.in]]\nm = 2\n"
         )
         source_lines = SourceLines(text.encode())
-        cases: list[tuple[list[Step], int]] = [
+        cases: list[tuple[list[PathElement], int]] = [
             (["a", "b.c", "d", "e", 1], 3),
             (["t", 0, "x", "z", 0, "q"], 6),
             (["t", 0, "sub", "k"], 8),
@@ -76,11 +76,13 @@
                 self.assertEqual(source_lines.line(path), line)
         self._assert_every_key_has_a_line(tomllib.loads(text), [], source_lines)
 
-    def _assert_every_key_has_a_line(self, tree: Any, path: list[Step], source_lines: SourceLines) -> None:
+    def _assert_every_key_has_a_line(
+        self, tree: Any, path: list[PathElement], source_lines: SourceLines
+    ) -> None:
         self.assertIn(tuple(path), source_lines._lines)
         pairs = tree.items() if isinstance(tree, dict) else enumerate(tree) if isinstance(tree, list) else ()
-        for step, value in pairs:
-            self._assert_every_key_has_a_line(value, [*path, step], source_lines)
+        for part, value in pairs:
+            self._assert_every_key_has_a_line(value, [*path, part], source_lines)
 
     def test_the_scenarios_that_ship_can_be_read_and_cover_every_fault(self) -> None:
         played = {fault.kind for name in scenario.shipped() for fault in scenario.read(name).faults}
