--- a/lupinladder/net/config.py
+++ b/lupinladder/net/config.py
@@ -62,7 +62,7 @@
     streams_per_connection: int
     max_open_requests: int
     max_descriptors: int  # for connections, without the reserved descriptors
-    known: dict[str, Any]  # last known endpoint list in discovery's format
+    endpoint_list: dict[str, Any]  # last known endpoint list in discovery's format
 
 
 def load(env: Mapping[str, str]) -> ProxyConfig:
@@ -91,8 +91,8 @@
     zones = [str(zone) for zone in read_value(settings_tree, "zones", list)]
     kinds = [str(server_kind) for server_kind in read_value(settings_tree, "kinds", list)]
     endpoint_parser = EndpointParser(zones, kinds)
-    known = read_value(tree, "known", dict)
-    endpoint_parser.check(known)  # an invalid list is rejected here, not at its first use
+    endpoint_list = read_value(tree, "known", dict)
+    endpoint_parser.check(endpoint_list)  # an invalid list is rejected here, not at its first use
     tenants = read_value(settings_tree, "tenants", list, [])
     return ProxyConfig(
         name=read_value(tree, "name", str),
@@ -111,7 +111,7 @@
         streams_per_connection=read_value(settings_tree, "ceilings.streams-per-conn", int, 1),
         max_open_requests=_max_open_requests(tree, settings_tree),
         max_descriptors=read_value(tree, "limits.sockets", int) - RESERVED_DESCRIPTORS,
-        known=known,
+        endpoint_list=endpoint_list,
     )
 
 
--- a/lupinladder/net/state_persister.py
+++ b/lupinladder/net/state_persister.py
@@ -136,7 +136,7 @@
         self._interval_ms = settings.every_ms
         store = _open_store(config, settings, now)
         origin_type = config.kinds[config.origin_kind] if 0 <= config.origin_kind < len(config.kinds) else ""
-        self.warm_start: WarmStart = plan_warm_start(config.known, store.loaded, now, origin_type)
+        self.warm_start: WarmStart = plan_warm_start(config.endpoint_list, store.loaded, now, origin_type)
         self._recent_starts = sum(now - started_at < MINUTE_MS for started_at in store.starts)
         self._change_tracker = ChangeTracker()
         self._list_index = NO_LIST_INDEX
--- a/lupinladder/proxy.py
+++ b/lupinladder/proxy.py
@@ -92,10 +92,10 @@
     def _start_dispatcher(self) -> None:
         """Give the balancer its first list: the stored one and what goes with it, or the platform's."""
         if self._persister is None:
-            self.dispatcher.start(self._registry.load_cached(self._conf.known))
+            self.dispatcher.start(self._registry.load_cached(self._conf.endpoint_list))
             return
         warm_start = self._persister.warm_start
-        self.dispatcher.start(self._registry.load_cached(warm_start.known))
+        self.dispatcher.start(self._registry.load_cached(warm_start.endpoint_list))
         for event in warm_start.events:
             self.dispatcher.notify(event)
         self._persister.start(self.loop, self.dispatcher, self._registry)
--- a/lupinladder/recovery/warm_start.py
+++ b/lupinladder/recovery/warm_start.py
@@ -36,7 +36,7 @@
 class WarmStart:
     """The state that a proxy starts with."""
 
-    known: dict[str, Any]  # the endpoint list in discovery's format
+    endpoint_list: dict[str, Any]  # in discovery's format
     generation: int
     source: Source  # of the list
     events: list[Event] = field(default_factory=list)  # given to the balancer after the list
