--- a/lupinladder/net/state_persister.py
+++ b/lupinladder/net/state_persister.py
@@ -73,7 +73,7 @@
 
 
 class StoreWriter(threading.Thread):
-    """The thread that owns the opened store and writes one batch of records at a time."""
+    """The thread that owns the store after startup and writes one batch of records at a time."""
 
     def __init__(self, store: file_store.Store, clock: Callable[[], float]) -> None:
         """`clock` returns the time in ms that the store's write budget uses."""
@@ -129,8 +129,8 @@
         Raises ConfigError if the store cannot be used, StoreUnavailableError if it cannot be used for now.
         """
         # The store's thread must not use the event loop, so it has its own clock with the loop's time. Like
-        # the loop's it is monotonic: if the wall clock were set back, a store that used it would stop writing
-        # until the clock had caught up.
+        # the loop's clock it is monotonic; with the wall clock, a step of the time would stop writing for as
+        # long as the step.
         clock_offset_ms = now - time.monotonic() * 1000
         self._config = config
         self._interval_ms = settings.every_ms
--- a/lupinladder/store/records.py
+++ b/lupinladder/store/records.py
@@ -43,7 +43,7 @@
     """An endpoint list in discovery's format."""
 
     index: int  # version that discovery gave the list
-    at: float  # when the list was received
+    at: float  # when discovery sent or last confirmed the list
     generation: int  # increases when discovery restarts and its index starts again
     endpoints: list[dict[str, Any]]
 
--- a/tests/store/test_file_store.py
+++ b/tests/store/test_file_store.py
@@ -109,7 +109,7 @@
                 except ProcessEnded:
                     os.close(store._lock)  # the end of a process closes its descriptors
                 stored_versions = versions(self.read())
-                # All records have the same version: the last that was flushed, or the one being written.
+                # All records have the same version: the last flushed version or the one being written.
                 self.assertEqual((len(stored_versions), len(set(stored_versions))), (8, 1), steps)
                 self.assertIn(
                     stored_versions[0], {float(last_flushed), float(min(last_flushed + 1, 4))}, steps
