--- a/lupinladder/net/log.py
+++ b/lupinladder/net/log.py
@@ -28,7 +28,7 @@
 _rates: dict[str, _Rate] = {}
 
 
-def log_event(event: str, /, **facts: object) -> None:
+def log_event(event: str, /, **fields: object) -> None:
     """Print one line for an event, unless too many were printed in this second. An output that is closed
     raises no error."""
     second = int(time.monotonic())
@@ -40,10 +40,10 @@
         rate.suppressed += 1
         return
     if rate.suppressed:
-        facts["suppressed"] = rate.suppressed
+        fields["suppressed"] = rate.suppressed
     rate.printed += 1
     rate.suppressed = 0
-    line = " ".join([event, *(f"{name}={_format_value(value)}" for name, value in facts.items())])
+    line = " ".join([event, *(f"{name}={_format_value(value)}" for name, value in fields.items())])
     with suppress(OSError):  # the reader of the log may have exited; the proxy continues to serve
         print(f"lupinladder: {line}", file=sys.stderr, flush=True)
 
--- a/tests/recovery/test_change_tracker.py
+++ b/tests/recovery/test_change_tracker.py
@@ -1,4 +1,4 @@
-"""Which limits are stored again."""
+"""Tests of the selection of limits that are stored again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ChangedLimits(TestCase):
-    def test_an_unchanged_limit_is_not_stored_again_until_its_age_would_mislead(self) -> None:
+    def test_an_unchanged_limit_is_stored_again_only_when_its_record_is_too_old(self) -> None:
         tracker = ChangeTracker()
         for current, count in [
             (limit(0), 1),
@@ -24,7 +24,7 @@
             (limit(9000, 60, 2.0), 1),
         ]:
             self.assertEqual(len(tracker.changed_limits([current])), count, current)
-        tracker.changed_limits([])  # the server is not listed any more: nothing is remembered of it
+        tracker.changed_limits([])  # the server is no longer listed, so the tracker forgets it
         self.assertEqual(len(tracker.changed_limits([limit(9001, 60, 2.0)])), 1)
 
 
--- a/tests/store/test_file_store.py
+++ b/tests/store/test_file_store.py
@@ -1,4 +1,4 @@
-"""The store: whatever happens to its file or its process, it holds the old state or the new, never a mix."""
+"""Tests of the store: after any failure it contains the old state or the new one, never a mix of both."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     UNLIMITED,
     FaultyFileSystem,
     ProcessEnded,
-    StoreScene,
+    StoreTestCase,
     sample_records,
     versions,
 )
 
 
-class Persistence(StoreScene):
+class Persistence(StoreTestCase):
     def test_a_restart_loads_the_latest_record_of_each_key(self) -> None:
         store = self.open()
         for version in range(1, 40):
             self.fill(store, version, version * 1000.0)
         store.put(EndpointListConfirmation(39, 50_000.0))
-        store.put(EndpointListConfirmation(38, 60_000.0))  # of another list, so it is ignored
+        store.put(EndpointListConfirmation(38, 60_000.0))  # for another list, so it is ignored
         store.close(41_000.0)
         reopened = self.open()
         assert reopened.loaded
@@ -52,12 +52,12 @@
         for version in range(3):
             self.fill(store, version, version * 1000.0)
         self.assertEqual(len(self.events), 1, self.events)
-        event, facts = self.events[0]
-        self.assertEqual((event, facts["path"], facts["max_bytes"]), ("store_too_large", self.path, 1000))
+        event, fields = self.events[0]
+        self.assertEqual((event, fields["path"], fields["max_bytes"]), ("store_too_large", self.path, 1000))
         self.assertLess(self.path.stat().st_size, 1_000)
 
 
-class Ownership(StoreScene):
+class Ownership(StoreTestCase):
     def test_a_second_process_is_rejected_until_the_first_has_ended(self) -> None:
         first = self.open()
         with self.assertRaisesRegex(StoreError, "another process uses this store"):
@@ -70,23 +70,27 @@
         self.fill(store, 1, 0.0)
         store.close(0)
         for owner in (StoreOwner("n2", "site"), StoreOwner("n1", "other")):
-            before = records.fold(file_store.peek(self.path))
-            assert before
+            previous_state = records.fold(file_store.peek(self.path))
+            assert previous_state
             other = self.open(owner=owner)
             self.assertIsNone(other.loaded)
             other.close(0)
-            whose = {"path": self.path, "proxy": before.owner.proxy, "deployment": before.owner.deployment}
-            self.assertEqual(self.events.pop(), ("store_of_another_owner", whose))
+            expected_fields = {
+                "path": self.path,
+                "proxy": previous_state.owner.proxy,
+                "deployment": previous_state.owner.deployment,
+            }
+            self.assertEqual(self.events.pop(), ("store_of_another_owner", expected_fields))
             self.assertTrue(self.path.with_name("n1.store.unused").exists())
 
-    def test_a_folder_that_is_missing_is_an_error_of_one_line(self) -> None:
+    def test_a_missing_folder_is_an_error_with_a_one_line_message(self) -> None:
         self.path = self.path.parent / "none" / "n1.store"
         with self.assertRaisesRegex(StoreError, "No such file or directory; the store needs a folder"):
             self.open()
 
 
-class Interruption(StoreScene):
-    """A process that ends, or a disk that refuses, at any step."""
+class Interruption(StoreTestCase):
+    """Tests in which the process ends or the disk fails at any file system call."""
 
     def test_a_process_that_ends_at_any_step_leaves_the_old_state_or_the_new_one(self) -> None:
         for written_share in (0.0, 0.7):
@@ -95,19 +99,21 @@
                 self.fill(store, 1, 0.0)
                 store.close(0.0)
                 file_system = FaultyFileSystem(steps, written_share=written_share)
-                finished = 1
+                last_flushed = 1
                 try:
                     store = self.open(file_system)
                     for version in (2, 3, 4):
                         self.fill(store, version, version * 1000.0)
-                        finished = version
+                        last_flushed = version
                     store.close(9000.0)
                 except ProcessEnded:
-                    os.close(store._lock)  # as the end of the process does
-                found = versions(self.read())
-                # All of one version: the last that was finished, or the one that was being written.
-                self.assertEqual((len(found), len(set(found))), (8, 1), steps)
-                self.assertIn(found[0], {float(finished), float(min(finished + 1, 4))}, steps)
+                    os.close(store._lock)  # the end of a process closes its descriptors
+                stored_versions = versions(self.read())
+                # All records have the same version: the last flushed version or the one being written.
+                self.assertEqual((len(stored_versions), len(set(stored_versions))), (8, 1), steps)
+                self.assertIn(
+                    stored_versions[0], {float(last_flushed), float(min(last_flushed + 1, 4))}, steps
+                )
                 self.path.unlink()
 
     def test_a_disk_that_fails_for_a_while_loses_only_the_records_of_that_time(self) -> None:
@@ -118,10 +124,10 @@
             file_system.steps = 0
             for version in range(2, 9):
                 self.fill(store, version, version * 1000.0)
-            facts = {"path": self.path, "error": os.strerror(error_number)}
-            self.assertEqual(self.events, [("store_write_failed", facts)])  # once, not at each flush
-            found = versions(self.read())
-            self.assertLessEqual(set(found), {1.0, 2.0})
+            fields = {"path": self.path, "error": os.strerror(error_number)}
+            self.assertEqual(self.events, [("store_write_failed", fields)])  # once, not at each flush
+            stored_versions = versions(self.read())
+            self.assertLessEqual(set(stored_versions), {1.0, 2.0})
             file_system.steps = UNLIMITED
             self.fill(store, 9, 9000.0)
             self.assertEqual(set(versions(self.read())), {9.0})
@@ -129,59 +135,59 @@
             self.events.clear()
             self.path.unlink()
 
-    def test_what_a_failed_flush_held_is_written_by_the_next_one_and_at_the_close(self) -> None:
-        for ends in ("flush", "close"):
+    def test_records_of_a_failed_flush_are_written_by_the_next_flush_or_the_close(self) -> None:
+        for written_by in ("flush", "close"):
             file_system = FaultyFileSystem(error_number=errno.EIO)
             store = self.open(file_system)
             self.fill(store, 1, 0.0)
             file_system.steps = 0
             self.fill(store, 2, 2000.0)
-            file_system.steps = UNLIMITED  # the disk is sound again, and nothing new is put
-            if ends == "flush":
+            file_system.steps = UNLIMITED  # the disk works again; no new record is put
+            if written_by == "flush":
                 store.flush(9000.0)
                 self.assertEqual(set(versions(self.read())), {2.0})
             store.close(9000.0)
-            self.assertEqual(set(versions(self.read())), {2.0}, ends)
+            self.assertEqual(set(versions(self.read())), {2.0}, written_by)
             self.path.unlink()
 
-    def test_a_close_that_fails_ends_the_descriptor_all_the_same(self) -> None:
+    def test_a_descriptor_whose_close_fails_is_not_closed_again(self) -> None:
         closed = list[int]()
 
         class FailingClose(FaultyFileSystem):
             def close(self, descriptor: int) -> None:
-                super().close(descriptor)  # as on Linux: the number is free, whatever is returned
+                super().close(descriptor)  # Linux releases the descriptor even if close(2) fails
                 closed.append(descriptor)
                 if len(closed) == 1:
                     raise OSError(errno.EIO, "at close")
 
         store = self.open(FailingClose(), limits=StoreLimits(bytes=1 << 20))
-        for version in range(1, 400):  # the file is written anew more than once
+        for version in range(1, 400):  # until the file has been rewritten twice
             self.fill(store, version, version * 1000.0)
             if len(closed) >= 2:
                 break
         self.assertEqual(len(closed), 2)
-        kept = os.open(self.path, os.O_RDONLY)  # takes the number that is free
-        self.addCleanup(os.close, kept)
+        reused_descriptor = os.open(self.path, os.O_RDONLY)  # gets the number of the released descriptor
+        self.addCleanup(os.close, reused_descriptor)
         store.close(1e9)
-        self.assertNotIn(kept, closed[2:])
+        self.assertNotIn(reused_descriptor, closed[2:])
         self.assertEqual(len(set(versions(self.read()))), 1)
 
 
-class DamagedFile(StoreScene):
+class DamagedFile(StoreTestCase):
     def test_the_valid_part_of_a_damaged_store_is_used_and_the_damage_is_reported(self) -> None:
         store = self.open()
         self.fill(store, 1, 1000.0)
         self.fill(store, 2, 2000.0)
         store.close(3000.0)
-        self.path.write_bytes(self.path.read_bytes()[:-1])  # cuts the end of the second flush
+        self.path.write_bytes(self.path.read_bytes()[:-1])  # truncates the second flush
         reopened = self.open()
         self.assertEqual(set(versions(reopened.loaded)), {1.0})
-        [(event, facts)] = self.events
-        self.assertEqual((event, facts["path"]), ("store_damaged", self.path))
-        self.assertEqual(facts["damage"], "a record is cut short, or its length is damaged")
+        [(event, fields)] = self.events
+        self.assertEqual((event, fields["path"]), ("store_damaged", self.path))
+        self.assertEqual(fields["damage"], "a record is cut short, or its length is damaged")
         reopened.close(0)
 
-    def test_a_file_without_a_valid_beginning_is_quarantined(self) -> None:
+    def test_a_file_without_a_valid_header_is_quarantined(self) -> None:
         self.path.write_bytes(b"no store")
         store = self.open()
         self.assertIsNone(store.loaded)
--- a/tests/store/test_store_compatibility.py
+++ b/tests/store/test_store_compatibility.py
@@ -1,7 +1,8 @@
-"""The stored form: a store of an earlier version is read in full, and the same calls write the same bytes.
+"""Tests that the stored format is unchanged.
 
-The fixtures were written by version 69eb350 with the calls of `write_sample_store`: a new store with two
-flushes that hold all four record kinds, and the same store opened and closed once more.
+A store of an earlier version is read completely, and the same calls write the same bytes. The fixtures were
+written by version 69eb350 with the calls of `write_sample_store`: a new store with two flushes that contain
+all four record types, and the same store after it was opened and closed once more.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 )
 
 FIXTURES = Path(__file__).parent / "fixtures"
-WRITTEN = FIXTURES / "store-69eb350.store"
-REOPENED = FIXTURES / "store-69eb350-reopened.store"
+WRITTEN_STORE = FIXTURES / "store-69eb350.store"
+REOPENED_STORE = FIXTURES / "store-69eb350-reopened.store"
 START_MS = 1_700_000_000_000.0
 REOPENED_MS = START_MS + 60_000.0
 DEPLOYMENT = "0123456789abcdef"
@@ -133,17 +134,17 @@
 
 
 def open_store(path: Path, now: float) -> Store:
-    """The sample proxy's store; any event that it reports is a failure."""
+    """Open the sample proxy's store; the test fails if it reports any event."""
 
-    def fail(event: str, /, **facts: object) -> None:
-        message = f"{event}: {facts}"
+    def fail(event: str, /, **fields: object) -> None:
+        message = f"{event}: {fields}"
         raise AssertionError(message)
 
     return Store(path, StoreOwner("n1", DEPLOYMENT), now, fail)
 
 
 def write_sample_store(path: Path) -> None:
-    """The calls that wrote the fixture."""
+    """Write a store with the calls that wrote the fixture."""
     store = open_store(path, START_MS)
     store.put(EndpointListRecord(41, START_MS + 1_000.0, 2, ENDPOINTS))
     store.put(LimitRecord("origin", 0.0, START_MS + 900.0, 120, 42.5, 10.25))
@@ -160,32 +161,35 @@
 
 class StoreOfAnEarlierVersion(TestCase):
     def test_every_record_is_read_as_it_was_written(self) -> None:
-        for path, expected in ((WRITTEN, RECORDS), (REOPENED, RECORDS_REOPENED)):
+        for path, expected in ((WRITTEN_STORE, RECORDS), (REOPENED_STORE, RECORDS_REOPENED)):
             scan = file_store.peek(path)
             self.assertEqual((scan.damage, scan.valid_bytes, scan.version), ("", path.stat().st_size, 1))
-            self.assertEqual([(one.number, one.record_type, one.body) for one in scan.records], expected)
+            self.assertEqual(
+                [(record.sequence_number, record.record_type, record.body) for record in scan.records],
+                expected,
+            )
 
-    def test_the_state_holds_the_latest_record_of_each_thing(self) -> None:
-        for path, starts in ((WRITTEN, [START_MS]), (REOPENED, [START_MS, REOPENED_MS])):
+    def test_the_state_holds_the_latest_record_of_each_key(self) -> None:
+        for path, starts in ((WRITTEN_STORE, [START_MS]), (REOPENED_STORE, [START_MS, REOPENED_MS])):
             state = records.fold(file_store.peek(path))
             assert state
             owner = {"proxy": "n1", "site": DEPLOYMENT, "starts": starts}
             self.assertEqual(msgspec.to_builtins(state.owner), owner)
-            kept = [msgspec.to_builtins(one, str_keys=False) for one in state.all()]
+            stored = [msgspec.to_builtins(record, str_keys=False) for record in state.all_records()]
             expected = [CONFIRMED_LIST, LATER_SLOTS, ORIGIN_LIMIT, SECOND_LIMIT, FIRST_LIMIT_LATER]
-            self.assertEqual(kept, expected)
+            self.assertEqual(stored, expected)
 
 
-class StoreWrittenNow(TestCase):
+class StoreOfThisVersion(TestCase):
     def test_the_same_calls_write_the_same_bytes(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n1.store"
             write_sample_store(path)
-            self.assertEqual(path.read_bytes(), WRITTEN.read_bytes())
+            self.assertEqual(path.read_bytes(), WRITTEN_STORE.read_bytes())
 
     def test_a_store_of_the_earlier_version_is_rewritten_with_the_same_bytes(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "n1.store"
-            path.write_bytes(WRITTEN.read_bytes())
+            path.write_bytes(WRITTEN_STORE.read_bytes())
             open_store(path, REOPENED_MS).close(REOPENED_MS)
-            self.assertEqual(path.read_bytes(), REOPENED.read_bytes())
+            self.assertEqual(path.read_bytes(), REOPENED_STORE.read_bytes())
--- a/tests/support/store_scene.py
+++ b/tests/support/store_scene.py
@@ -97,7 +97,7 @@
     return [*of_list, *of_slots, *(limit.at for limit in state.limits.values())]
 
 
-class StoreScene(TestCase):
+class StoreTestCase(TestCase):
     """A store's path in a folder of its own, and the events that were reported."""
 
     def setUp(self) -> None:
@@ -106,8 +106,8 @@
         self.path = Path(folder.name) / "n1.store"
         self.events: list[tuple[str, dict[str, object]]] = []
 
-    def report(self, event: str, /, **facts: object) -> None:
-        self.events.append((event, facts))
+    def report(self, event: str, /, **fields: object) -> None:
+        self.events.append((event, fields))
 
     def open(
         self,
