--- a/lupinladder/__main__.py
+++ b/lupinladder/__main__.py
@@ -42,6 +42,7 @@
     signals.attach(proxy)
     _tune_garbage_collector()
     proxy.loop.run()
+    signals.ignore_from_now_on()
     log_event("shutdown_finished", **metrics.summary())
     return EXIT_OK
 
--- a/lupinladder/signals.py
+++ b/lupinladder/signals.py
@@ -36,6 +36,15 @@
         """Let the proxy's loop handle each signal, including those that were received before."""
         proxy.loop.watch(self._receiver, 0, READ, lambda _: self._on_wakeup(proxy))
 
+    def ignore_from_now_on(self) -> None:
+        """Ignore further signals, for use just before the process exits.
+
+        The interpreter restores the default handlers while it exits. A signal that arrives after that would
+        kill the process, which would then end without its exit code.
+        """
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, signal.SIG_IGN)
+
     def _on_wakeup(self, proxy: Proxy) -> None:
         """Reload on SIGHUP, shut down on any other signal."""
         self._receiver.recv(WAKEUP_READ_BYTES)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -9,6 +9,7 @@
 import socket
 import subprocess
 import sys
+import time
 import unittest
 from unittest import mock
 
@@ -183,6 +184,20 @@
         self.assertEqual(process.returncode, 0)
 
 
+class SignalsDuringExit(ProxyProcess):
+    """The interpreter restores the default handlers while it exits; a late signal then killed the process."""
+
+    def test_they_do_not_change_the_exit_code(self) -> None:
+        with self.start_listening(self.configuration()) as process:
+            process.send_signal(signal.SIGTERM)
+            self.until_logged(process, "shutdown_finished")
+            deadline = time.monotonic() + END_TIMEOUT_S
+            while process.poll() is None and time.monotonic() < deadline:
+                process.send_signal(signal.SIGHUP)
+                process.send_signal(signal.SIGTERM)
+            self.assertEqual(process.returncode, 0)
+
+
 class PushedList(ProxyProcess):
     def test_a_pushed_list_is_watched_from_the_start_and_again_after_its_watch_is_lost(self) -> None:
         discovery = RecordingListener(self.loop)
