--- a/lupinladder/emulator/cache_memory.py
+++ b/lupinladder/emulator/cache_memory.py
@@ -1,4 +1,4 @@
-"""The memory of one cache node: versions of objects by key, bounded in number and in age."""
+"""The memory of one cache node: a version per key, with a maximum number of objects and a TTL."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     """One object in a cache node's memory."""
 
     version: int
-    expires_at: float  # ms
+    expires_at: float  # time in ms
 
 
 class CacheMemory:
-    """Objects by key, at most `max_objects`. The oldest is evicted first: the least recently used or stored.
+    """A cache of at most `max_objects` objects with TTLs, and with LRU or FIFO eviction.
 
-    cachetools has caches for LRU and for FIFO and one for times to live, but none for both at once.
+    cachetools has LRU and FIFO caches and a TTL cache, but none that combines FIFO and LRU with a TTL.
     """
 
     def __init__(self, max_objects: int, fifo: bool) -> None:
-        """With `fifo`, reading an object does not make it younger."""
+        """`fifo` selects FIFO eviction, where a read does not change the order; the default is LRU."""
         self._max_objects = max_objects
         self._fifo = fifo
         self._objects: OrderedDict[bytes, CachedObject] = OrderedDict()
@@ -29,7 +29,7 @@
         return len(self._objects)
 
     def get(self, key: bytes, now: float) -> int | None:
-        """The version held of this key; None if there is none or it has expired."""
+        """Return the cached version of this key; None if there is none or it has expired."""
         found = self._objects.get(key)
         if found is None:
             return None
@@ -41,12 +41,12 @@
         return found.version
 
     def put(self, key: bytes, version: int, expires_at: float) -> None:
-        """Store a version and evict the oldest objects beyond the bound."""
+        """Store a version and evict objects beyond the maximum."""
         self._objects[key] = CachedObject(version, expires_at)
         self._objects.move_to_end(key)
         while len(self._objects) > self._max_objects:
             self._objects.popitem(last=False)
 
     def remove(self, key: bytes) -> None:
-        """Forget a key, whether it is held or not."""
+        """Remove a key if it is cached."""
         self._objects.pop(key, None)
--- a/lupinladder/emulator/cache_node.py
+++ b/lupinladder/emulator/cache_node.py
@@ -1,6 +1,6 @@
-"""The model of a cache node: what it does with a request and when it replies.
+"""The model of a cache node: how it serves a request and when it replies.
 
-PROTOCOL, "Proxies to cache nodes". The model does no I/O; `cache_node_server` connects it to sockets.
+See PROTOCOL, "Proxies to cache nodes". The model does no I/O; `cache_node_server` connects it to sockets.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from lupinladder.emulator.scenario import ClusterConfig
 from lupinladder.emulator.shared_data import SharedData
 
-FETCH_PENDING_MS = 500.0  # after a miss for which the key counts as being fetched
-MAX_PENDING_FETCHES = 4096  # beyond which the ones that are over are removed
+FETCH_PENDING_MS = 500.0  # time after a miss during which the key counts as being fetched
+MAX_PENDING_FETCHES = 4096  # above this number, entries whose time is over are removed
 
 
 def _warm_up(config: ClusterConfig) -> WarmUp:
-    """The warm-up of a node that starts during the run."""
+    """Return the warm-up of a node that starts during the run."""
     work_ms = config.cold_s * 500 * config.cores if config.warm_by == "requests" else inf
     return WarmUp(config.cold_share, config.cold_s * 1000, work_ms)
 
 
 class CacheNode:
-    """One cache node. `next_wakeup` tells when `advance` has to be called next.
+    """One cache node. `next_wakeup` returns when `advance` has to be called next.
 
-    Every call says what time it is, in ms, and never an earlier time than the call before.
+    Every call passes the current time in ms, which never decreases from call to call.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         rng: np.random.Generator,
         starts_empty: bool,
     ) -> None:
-        """With `starts_empty` the node starts now, with an empty cache; else it ran before the run began."""
+        """With `starts_empty` the node starts now with an empty cache, else it started before the run."""
         self.name = name
         self.zone = zone
         self.config = config
@@ -63,11 +63,11 @@
             thrashing=Thrashing(config.thrash, config.thrash_at),
             warm_up=_warm_up(config) if starts_empty else None,
         )
-        self._pending_fetches: dict[bytes, float] = {}  # by key: until when it counts as being fetched, ms
+        self._pending_fetches: dict[bytes, float] = {}  # time in ms when a fetch is over, by key
         self._load_reporter = LoadReporter(self.queue, config.report_ms)
 
     def submit(self, now: float, request: NodeRequest) -> None:
-        """A whole command has arrived."""
+        """Serve a command that has arrived completely, or reject it if the queue is full."""
         self.advance(now)
         job = Job(request.work * (self.config.miss_work if request.is_write else 1.0), request)
         if not request.is_write and not self._has(now, request.key):
@@ -83,17 +83,17 @@
         return self.memory.get(key, now) is not None
 
     def store(self, key: bytes, version: int, expires_at: float) -> None:
-        """Keep what the origin answered to a fetch that a miss here began."""
+        """Store the origin's answer to a fetch that a miss at this node started."""
         self._pending_fetches.pop(key, None)
         self.memory.put(key, version, expires_at)
 
     def handshake(self, now: float) -> None:
-        """A connection was established, which costs work."""
+        """Add the work that a new connection costs."""
         self.advance(now)
         self.queue.offer(now, Job(self.config.handshake_ms, None))
 
     def submit_health_check(self, now: float, request: NodeRequest) -> None:
-        """A health check has arrived, which is served like a request."""
+        """Serve a health check like a request, or reject it if the queue is full."""
         self.advance(now)
         request.work = self.config.probe_ms
         request.job = Job(request.work, request)
@@ -101,20 +101,20 @@
             request.reply(b"-ERR busy\r\n", ReplyType.BUSY)
 
     def cancel(self, now: float, request: NodeRequest) -> None:
-        """The connection of this request was closed."""
+        """Cancel a request whose connection was closed, as the scenario sets it."""
         self.advance(now)
         if request.job:
             self.queue.cancel(request.job, self.config.cancel == "all")
 
     def advance(self, now: float) -> None:
-        """Reply to whatever is done by now."""
+        """Reply to all requests that are done by now."""
         for job in self.queue.advance(now):
             request = job.owner
             if isinstance(request, NodeRequest):
                 self._complete(now, request)
 
     def next_wakeup(self) -> float:
-        """When `advance` must be called at the latest, in ms; infinity if nothing is under way."""
+        """Return the latest time in ms of the next call of `advance`; infinity if no job runs."""
         return self.queue.next_completion()
 
     def _complete(self, now: float, request: NodeRequest) -> None:
@@ -155,7 +155,7 @@
         return b"*3\r\n" + value + encode_bulk_string(reply_type.encode()) + report
 
     def load_report(self, now: float) -> bytes:
-        """The load report; empty in a scenario whose nodes do not report their load."""
+        """Return the load report; empty in a scenario whose nodes do not report their load."""
         if not self.config.reports:
             return b""
         return self._load_reporter.report(now)
--- a/lupinladder/emulator/cache_node_connection.py
+++ b/lupinladder/emulator/cache_node_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a proxy to a cache node: RESP2 commands, served as they arrive, replied to in order."""
+"""One connection from a proxy to a cache node: RESP2 commands, served on arrival, with replies in order."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 READ_COMMAND = b"OBJ.GET"
 WRITE_COMMAND = b"OBJ.SET"
 READ_ARGUMENTS = 4  # command, key, request id, labels
-WRITE_ARGUMENTS = 5  # the same and the value
+WRITE_ARGUMENTS = 5  # command, key, request id, labels, value
 PONG = b"+PONG\r\n"
 
 
 class CacheNodeConnection(asyncio.Protocol):
-    """One connection from a proxy."""
+    """Reads commands from one proxy, submits them to the node and writes the replies."""
 
     def __init__(self, server: CacheNodeServer, proxy: int) -> None:
         self._server = server
@@ -34,15 +34,15 @@
         self._clock = server.clock
         self.transport: asyncio.Transport | None = None
         self._reader = hiredis.Reader()
-        self._raw = bytearray()  # the bytes of the command that is arriving
-        self._first_byte_at = 0.0  # of that command
+        self._raw = bytearray()  # bytes received of the current command
+        self._first_byte_at = 0.0  # time in ms of its first byte
         self._requests = DelayedChannel(self._clock, server.paths[proxy])
         self._replies = ReplyPipeline(DelayedChannel(self._clock, server.paths[proxy]), self._write)
         self._handshake_done_at = 0.0
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, which costs work, or reset it if there are too many."""
+        """Accept the connection, which costs work, or reset it if the node is down or has too many."""
         self.transport = as_stream_transport(transport)
         server = self._server
         config = server.core.config
@@ -68,7 +68,7 @@
             self._close()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Cancel what the connection still waits for."""
+        """Cancel the requests of the connection that have no reply yet."""
         if self._idle_timer:
             self._idle_timer.cancel()
         self._server.connections.discard(self)
@@ -77,7 +77,7 @@
             self._server.driver.update()
 
     def data_received(self, data: bytes) -> None:
-        """Serve the commands that are complete; close the connection if it is not RESP2 or too long."""
+        """Serve all complete commands; close the connection on invalid RESP2 or too long a command."""
         now = self._clock.now()
         if not self._raw:
             self._first_byte_at = now
@@ -130,7 +130,7 @@
             return
 
         def on_reply(data: bytes, _reply_type: ReplyType) -> None:
-            """The node has served the health check, or rejected it with `data`."""
+            """Reply to the health check; `data` is not empty if the node rejected it."""
             self._replies.complete(reply, data or answer)
 
         reply.request = NodeRequest(
@@ -158,7 +158,7 @@
         )
 
         def on_reply(data: bytes, reply_type: ReplyType) -> None:
-            """The node has served the request or rejected it."""
+            """Pass on the reply, which may be a rejection."""
             reply.reply_type = reply_type
             self._replies.complete(reply, data)
 
@@ -185,7 +185,7 @@
         self.transport.write(data)
 
     def _corrupt_and_record(self, reply: PendingReply, data: bytes) -> bytes:
-        """Tell the rule checker of a reply to a client's request. Returns the bytes to write."""
+        """Report a reply to the rule checker. Returns the bytes to write, which a fault may corrupt."""
         server = self._server
         assert reply.request
         assert reply.attempt
@@ -204,6 +204,6 @@
 
 
 def _read_value(data: bytes) -> bytes:
-    """The first bulk string of an array."""
+    """Return the first bulk string of an array."""
     _, length, rest = data.split(b"\r\n", 2)
     return rest[: int(length[1:])]
--- a/lupinladder/emulator/cache_node_server.py
+++ b/lupinladder/emulator/cache_node_server.py
@@ -14,7 +14,7 @@
 from lupinladder.emulator.sockets import FaultyListener, NetworkPath, reset_all
 
 WorkSampler = Callable[[dict[bytes, bytes]], float]
-"""Draws the work of a command by its labels, in ms; UnknownClassError for a class that does not exist."""
+"""Draws the work of a command in ms from its labels. Raises UnknownClassError for an unknown class."""
 
 
 class CacheNodeServer:
@@ -30,7 +30,7 @@
         sockets: Sequence[socket.socket] | None = None,
         round_trip_ms: Callable[[int], float] = lambda _proxy: 0.0,
     ) -> None:
-        """`paths`, `sockets` (taken over from another node) and `round_trip_ms` are by proxy."""
+        """`paths` and `sockets` (taken over from an ended node) are indexed by proxy."""
         self.clock = clock
         self.core = core
         self.rule_checker = rule_checker
@@ -39,7 +39,7 @@
         self.round_trip_ms = round_trip_ms
         self.driver = ModelDriver(clock, core)
         self.connections: set[CacheNodeConnection] = set()
-        self.corruption: ResponseCorruption | None = None  # faults set it
+        self.corruption: ResponseCorruption | None = None  # set by faults
         self.is_unresponsive = False
         self.on_overload_crash: Callable[[], None] = lambda: None
         self.listeners = [
@@ -50,23 +50,23 @@
         ]
 
     def open(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         for listener in self.listeners:
             listener.open()
 
     def crash(self) -> None:
-        """The process dies: connections are reset and new ones refused."""
+        """End the process: open connections are reset and new ones refused."""
         for listener in self.listeners:
             listener.close()
         self._end_process()
 
     def crash_from_overload(self) -> None:
-        """The node was sent too much while it was warming up. It stays down."""
+        """End the process because the node was overloaded while it was warming up. It does not restart."""
         self.crash()
         self.on_overload_crash()
 
     def crash_and_hand_over(self) -> list[socket.socket]:
-        """As `crash`, but the listening sockets stay open, for another node. Returns them by proxy."""
+        """End the process but keep its listening sockets open for another node. Returns them by proxy."""
         sockets = [listener.hand_over() for listener in self.listeners]
         self._end_process()
         return sockets
@@ -77,11 +77,11 @@
         self.driver.stop()
 
     def reset_connections(self) -> None:
-        """Reset all connections; the process runs on."""
+        """Reset all connections; the process continues to run."""
         reset_all(self.connections)
 
     def stop_responding(self) -> None:
-        """The machine is cut off: open connections stay open and silent, new ones do not come up."""
+        """Isolate the machine: open connections get no replies, and new ones are not established."""
         self.is_unresponsive = True
         for listener in self.listeners:
             listener.stop_responding()
--- a/lupinladder/emulator/clock.py
+++ b/lupinladder/emulator/clock.py
@@ -1,4 +1,4 @@
-"""The emulator's clock, calls at set times, and the measure of whether the emulator itself runs late."""
+"""The emulator's clock, timers for models, and a measurement of the lateness of the event loop."""
 
 from __future__ import annotations
 
@@ -9,52 +9,53 @@
 from math import inf
 from typing import Any, Protocol
 
-LATENESS_INTERVAL_S = 0.02  # between two measurements
-EARLIER_WAKEUP_MS = 0.01  # a wakeup that is earlier by more than this replaces the timer
-LATER_WAKEUP_MS = 50.0  # a wakeup that is later by more than this does so too
+LATENESS_INTERVAL_S = 0.02  # interval of the measurements
+EARLIER_WAKEUP_MS = 0.01  # the timer is replaced if the next wakeup is earlier by more than this
+LATER_WAKEUP_MS = 50.0  # the timer is replaced if the next wakeup is later by more than this
 
 
 class Clock:
-    """Monotonic milliseconds, anchored once to Unix time, and the event loop.
+    """A monotonic clock in milliseconds, anchored once to Unix time, and the event loop.
 
-    The proxies' own clocks are anchored in the same way: the start times in the endpoint list need that.
+    The proxies anchor their clocks in the same way, so that they can compare start times in the endpoint list
+    with their own time.
     """
 
     def __init__(self) -> None:
         self._anchor_ms = (time.time() - time.monotonic()) * 1000
         self.loop = asyncio.get_running_loop()
-        self.faults: list[str] = []  # exceptions of the emulator's own code: with any, a run is void
+        self.faults: list[str] = []  # exceptions in the emulator's own code; any of them makes the run void
         self.loop.set_exception_handler(self._on_exception)
 
     def _on_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         exception = context.get("exception")
-        if isinstance(exception, OSError):  # a peer that has gone is no fault of the emulator
+        if isinstance(exception, OSError):  # a lost peer is not an error of the emulator
             return
         lines = traceback.format_exception(exception) if exception else [context.get("message", "")]
         text = "".join(lines)
         self.faults.append(text.strip().replace("\n", " | "))
 
     def now(self) -> float:
-        """The time, in ms."""
+        """Return the current time in ms."""
         return time.monotonic() * 1000 + self._anchor_ms
 
     def at(self, when: float, callback: Callable[[], object]) -> asyncio.TimerHandle:
-        """Call back at this time (ms), or as soon as possible if it has passed."""
+        """Call `callback` at this time in ms, or as soon as possible if the time has passed."""
         return self.loop.call_later(max(0.0, when - self.now()) / 1000, callback)
 
 
 class TimedModel(Protocol):
-    """A model that does no I/O and has to be told the time."""
+    """A model that does no I/O and gets the current time from its caller."""
 
     def advance(self, now: float) -> object:
-        """Do what is due by now (ms)."""
+        """Do everything that is due by now (time in ms)."""
 
     def next_wakeup(self) -> float:
-        """When `advance` has to be called next, in ms; infinity if nothing is under way."""
+        """Return the time in ms of the next call of `advance`; infinity if nothing is scheduled."""
 
 
 class ModelDriver:
-    """Calls `advance` of a model when it is due, and `after_advance` each time after that."""
+    """Calls `advance` of a model when it is due, and `after_advance` after each call."""
 
     def __init__(
         self, clock: Clock, model: TimedModel, after_advance: Callable[[], object] = lambda: None
@@ -66,7 +67,7 @@
         self._fires_at = inf
 
     def update(self) -> None:
-        """The model has changed: do what is due, and set the timer."""
+        """Advance the model after a change, and set the timer for the next wakeup."""
         self._model.advance(self._clock.now())
         self._after_advance()
         wakeup = self._model.next_wakeup()
@@ -94,11 +95,11 @@
 
 
 class Lateness:
-    """How late the emulator's own event loop runs. A run in which it was late says nothing of the proxies."""
+    """Measures how late the emulator's event loop runs. A run with a late loop does not test the proxies."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.lags: list[float] = []  # ms
+        self.lags: list[float] = []  # in ms
         self._schedule()
 
     def _schedule(self) -> None:
@@ -110,11 +111,11 @@
         self._schedule()
 
     def stop(self) -> None:
-        """Measure no more."""
+        """Stop measuring."""
         self._timer.cancel()
 
     def share(self, over: float) -> float:
-        """The share of time in which the loop was more than `over` ms late."""
+        """Return the share of time in which the loop was more than `over` ms late."""
         late_ms = sum(lag for lag in self.lags if lag > over)
         total_ms = len(self.lags) * LATENESS_INTERVAL_S * 1000 + sum(self.lags)
         return late_ms / max(total_ms, 1.0)
--- a/lupinladder/emulator/cluster.py
+++ b/lupinladder/emulator/cluster.py
@@ -1,4 +1,4 @@
-"""The servers of a run: cache nodes that come and go, the origin, discovery, and the paths to all of them."""
+"""The servers of a run: the changing cache nodes, the origin, discovery, and the network paths."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
     @classmethod
     def of_class(cls, request_class: RequestClassConfig) -> WorkDistribution:
-        """The distribution with the mean and the coefficient of variation that the scenario sets."""
+        """Return the distribution with the mean and coefficient of variation set in the scenario."""
         return cls(request_class.work_ms, float(np.sqrt(np.log1p(request_class.cv**2))))
 
     def draw(self, rng: np.random.Generator) -> float:
-        """Draw the work of one request, in ms."""
+        """Draw the work of one request in ms."""
         return float(self.mean_ms * rng.lognormal(-self.sigma * self.sigma / 2, self.sigma))
 
 
 def origin_capacity(scenario: Scenario) -> float:
-    """Fetches a second that the origin can do: as set, or the headroom times what one pooled cache leaves."""
+    """Return the origin's fetches per second: as set, or headroom times the peak behind one pooled cache."""
     if scenario.origin.capacity:
         return scenario.origin.capacity
     write_share = sum(one.share for one in scenario.classes if one.write)
@@ -66,18 +66,18 @@
         rule_checker: RuleChecker,
         proxy_zones: list[int],
     ) -> None:
-        """`proxy_zones` are the zones of the proxies, by proxy."""
+        """`proxy_zones` has the zone of each proxy."""
         self.clock = clock
         self.scenario = scenario
         self._rng = random_stream(scenario.seed, "fleet")
         self.nodes: dict[str, CacheNodeServer] = {}
         self.endpoints = EndpointList()
-        self.wall_step_ms = 0.0  # by which the machines' wall clock is ahead of the run's clock
-        self._since_ms: dict[str, int] = {}  # when each node started, by the wall clock as it was then
+        self.wall_step_ms = 0.0  # time by which the machines' wall clock is ahead of the run's clock
+        self._since_ms: dict[str, int] = {}  # start of each node by the wall clock at that time
         self.on_change: Callable[[str], None] = lambda _what: None
         self._rule_checker = rule_checker
         self._proxy_zones = proxy_zones
-        self._paths: dict[tuple[int, int], NetworkPath] = {}  # by the zones of both ends, the lower first
+        self._paths: dict[tuple[int, int], NetworkPath] = {}  # by the two zones in ascending order
         self._shared_data = SharedData(keys, self._draw_ttl)
         self._work_by_class = {one.name.encode(): WorkDistribution.of_class(one) for one in scenario.classes}
         self._nodes_placed = 0
@@ -108,7 +108,7 @@
         )
 
     def open(self) -> None:
-        """Start the servers that run when the run begins; they are in the list from the start."""
+        """Start the initial servers and discovery. The initial servers are in the list from the start."""
         self.origin.open()
         self.endpoints.put(self._origin_entry(0))
         for _ in range(self.scenario.fleet.nodes):
@@ -121,7 +121,7 @@
         return ListedEndpoint(ORIGIN, zone, "origin", 0, EndpointStatus.ACTIVE, since_ms)
 
     def relist_origin(self) -> None:
-        """Announce a new start of the origin."""
+        """Announce a new start time of the origin, although it did not restart."""
         self.announce(self._origin_entry(int(self.clock.now() + self.wall_step_ms)))
 
     def _next_zone(self) -> int:
@@ -129,7 +129,7 @@
         return self._nodes_placed % len(self.scenario.fleet.zones)
 
     def _path(self, zone: int, other_zone: int) -> NetworkPath:
-        """The path between two zones: one object, so that a fault on it affects all that use it."""
+        """Return the path between two zones, one shared object, so that a fault affects all its users."""
         ends = (min(zone, other_zone), max(zone, other_zone))
         if ends not in self._paths:
             one_way_ms = self._one_way_ms(zone, other_zone)
@@ -141,15 +141,15 @@
         return net.same_ms if zone == other_zone else net.cross_ms
 
     def _paths_to(self, zone: int) -> list[NetworkPath]:
-        """By proxy."""
+        """Return the paths from each proxy to this zone, by proxy."""
         return [self._path(proxy_zone, zone) for proxy_zone in self._proxy_zones]
 
     def paths_between_zones(self, zone: int) -> list[NetworkPath]:
-        """The paths from this zone to others."""
+        """Return the paths between this zone and all other zones."""
         return [path for ends, path in self._paths.items() if zone in ends and ends[0] != ends[1]]
 
     def draw_work(self, labels: dict[bytes, bytes]) -> float:
-        """Draw the work of a command, in ms. UnknownClassError if its labels name no class that exists."""
+        """Draw the work of a command in ms. Raises UnknownClassError if its request class does not exist."""
         name = labels.get(CLASS_LABEL)
         if name is None:
             raise UnknownClassError(CLASS_LABEL)
@@ -171,7 +171,7 @@
         core = CacheNode(now, name, zone, config, self._shared_data, self._rng, starts_empty)
 
         def round_trip_ms(proxy: int) -> float:
-            """Between this proxy and the node, without jitter."""
+            """Return the round trip time between this proxy and the node, without jitter."""
             return 2 * self._one_way_ms(self._proxy_zones[proxy], zone)
 
         server = CacheNodeServer(
@@ -193,24 +193,24 @@
         return server
 
     def entry(self, node: CacheNodeServer, status: EndpointStatus) -> ListedEndpoint:
-        """The list's entry of a node."""
+        """Return the endpoint list's entry for a node."""
         core = node.core
         zone = self.scenario.fleet.zones[core.zone]
         return ListedEndpoint(core.name, zone, NODE_TYPE, core.zone, status, self._since_ms[core.name])
 
     def addresses(self, proxy: int) -> dict[str, str]:
-        """Where this proxy reaches each server, by name."""
+        """Return the address at which this proxy reaches each server, by server name."""
         node_addresses = {name: node.listeners[proxy].address for name, node in self.nodes.items()}
         return {**node_addresses, ORIGIN: self.origin.listeners[proxy].address}
 
     def _missed_at_warming_node(self, request_id: bytes) -> bool:
-        """Whether the fetch of this request began with a miss at a node that warms up."""
+        """Return whether the fetch of this request follows a miss at a node that is warming up."""
         now = self.clock.now()
         first_node = self._shared_data.nodes_that_missed(request_id)[:1]
         return any(self._rule_checker.is_warming_up(now, name) for name in first_node)
 
     def announce(self, entry: ListedEndpoint, delay_s: float | None = None) -> None:
-        """The list will show this after `delay_s`, which is drawn if it is not given."""
+        """Schedule a change of the list after `delay_s`; the delay is drawn at random if it is None."""
         if delay_s is None:
             delay_s = float(self._rng.uniform(*self.scenario.discovery.notice_s))
         self.endpoints.notice_at(self.clock.now() + delay_s * 1000, entry)
@@ -219,29 +219,29 @@
     def start_node(
         self, zone: int, sockets: Sequence[socket.socket] | None = None, name: str = ""
     ) -> CacheNodeServer:
-        """Start a new node with empty caches, on `sockets` (by proxy) and under `name` if these are given."""
+        """Start a node with an empty cache, on `sockets` (by proxy) and under `name` if they are given."""
         node = self._make_node(zone, True, sockets, name)
         self.announce(self.entry(node, EndpointStatus.ACTIVE))
         self.on_change(f"{node.core.name} started")
         return node
 
     def drain(self, node: CacheNodeServer) -> None:
-        """The node finishes what it has, and the list will say that it drains."""
+        """Announce that a node is draining."""
         self.announce(self.entry(node, EndpointStatus.DRAINING))
 
     def end_node(self, node: CacheNodeServer) -> None:
-        """The node's process ends."""
+        """End the node's process and announce its removal."""
         node.crash()
         self._remove(node, "ended")
 
     def end_node_and_keep_sockets(self, node: CacheNodeServer) -> list[socket.socket]:
-        """The node's process ends. Returns its listening sockets, by proxy, for a successor."""
+        """End the node's process and announce its removal. Returns its open listening sockets by proxy."""
         sockets = node.crash_and_hand_over()
         self._remove(node, "ended")
         return sockets
 
     def replace_unresponsive(self, node: CacheNodeServer) -> None:
-        """A machine that was cut off comes back under its old name, with empty caches."""
+        """Restart an isolated machine under its old name, with an empty cache."""
         node.crash()
         self.nodes.pop(node.core.name, None)
         self.start_node(node.core.zone, None, node.core.name)
--- a/lupinladder/emulator/deduplication_table.py
+++ b/lupinladder/emulator/deduplication_table.py
@@ -1,4 +1,4 @@
-"""Recent writes by idempotency key, so that a repeat within the window is dropped."""
+"""Recent writes by idempotency key, to drop repeated writes within the deduplication window."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class DeduplicationTable:
-    """Idempotency keys seen lately: all servers of the group drop a repeat (PROTOCOL, BRIEF)."""
+    """Idempotency keys of recent writes. All servers of the group drop a repeated write (PROTOCOL, BRIEF)."""
 
     def __init__(self) -> None:
-        self._first_seen: OrderedDict[bytes, float] = OrderedDict()  # by idempotency key, ms
+        self._first_seen: OrderedDict[bytes, float] = OrderedDict()  # time in ms, by idempotency key
 
     def is_first(self, idempotency_key: bytes, now: float) -> bool:
-        """Whether this is the first write with this key within the window; it is remembered if so."""
+        """Return whether this is the first write with this key within the window, and record it if so."""
         while self._first_seen and next(iter(self._first_seen.values())) < now - DEDUPLICATION_WINDOW_MS:
             self._first_seen.popitem(last=False)
         if idempotency_key in self._first_seen:
--- a/lupinladder/emulator/discovery_connection.py
+++ b/lupinladder/emulator/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a proxy to discovery: polls of the whole list, or one watch, over HTTP/1.1."""
+"""One connection from a proxy to discovery: polls of the endpoint list, or one watch, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class DiscoveryConnection(HttpServerConnection):
-    """One connection from a proxy."""
+    """Answers one proxy's polls of the endpoint list, or sends its watch each change."""
 
     def __init__(self, server: DiscoveryServer, proxy: int) -> None:
         super().__init__()
         self._server = server
         self._proxy = proxy
-        self._watch_index: int | None = None  # the version that the watch was sent last; None without one
+        self._watch_index: int | None = None  # list version last sent to the watch; None if there is no watch
         self._keepalive_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, or reset it if discovery is down."""
+        """Accept the connection, or reset it if discovery is down."""
         self.transport = as_stream_transport(transport)
         if self._server.is_down:
             reset_connection(self.transport)
@@ -39,13 +39,13 @@
         self._server.connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forget the connection and its watch."""
+        """Remove the connection and its watch."""
         self._server.connections.discard(self)
         if self._keepalive_timer:
             self._keepalive_timer.cancel()
 
     def on_message_complete(self) -> None:
-        """The parser has read a whole request."""
+        """Answer a complete request after its waiting time, or with 503 if it would wait too long."""
         url = urlsplit(self._take_url().decode("latin-1"))
         self._server.rule_checker.count_rate("calls for the list", self._server.clock.now())
         wait_s = self._server.reserve_turn()
@@ -75,7 +75,7 @@
         self._record_written(changes)
 
     def _record_written(self, changes: EndpointChanges) -> None:
-        """Tell the rule checker what the proxy now knows."""
+        """Report to the rule checker which entries were sent to the proxy."""
         rule_checker = self._server.rule_checker
         clock = self._server.clock
         if changes.is_snapshot:
@@ -91,7 +91,7 @@
         self._send_changes(index)
 
     def on_list_changed(self) -> None:
-        """Send the watch, if there is one, what it has not been sent yet."""
+        """Send the watch, if there is one, the changes that it has not received yet."""
         if self._watch_index is not None:
             self._send_changes(self._watch_index)
 
@@ -103,7 +103,7 @@
         self._record_written(changes)
 
     def _send_line(self, text: bytes) -> None:
-        """Send one chunk, a line, and an empty line once nothing else has been sent for a while."""
+        """Send one line as a chunk, and restart the timer that sends an empty line to an idle watch."""
         if self._keepalive_timer:
             self._keepalive_timer.cancel()
         if self.transport and not self.transport.is_closing():
--- a/lupinladder/emulator/discovery_server.py
+++ b/lupinladder/emulator/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery on real sockets: polls of the list and watches, with one listener for each proxy."""
+"""Discovery on real sockets: polls of the endpoint list and watches, with one listener for each proxy."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from lupinladder.emulator.scenario import DiscoveryConfig
 from lupinladder.emulator.sockets import FaultyListener, reset_all
 
-COUNTS_AS_KNOWN_AFTER_MS = 6000.0  # after which a proxy has to know of a change, sent to it or not
+COUNTS_AS_KNOWN_AFTER_MS = 6000.0  # a proxy has to know a change after this time, whether or not it was sent
 
 
 class DiscoveryServer:
-    """Serves requests one after another; a watch is sent every change as soon as it is noticed."""
+    """Serves requests one at a time, and sends each change to all watches as soon as discovery detects it."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         addresses: Callable[[int], dict[str, str]],
         config: DiscoveryConfig,
     ) -> None:
-        """`addresses` gives the servers' addresses, by name, as one proxy reaches them."""
+        """`addresses` returns the servers' addresses by name, as the given proxy reaches them."""
         self.clock = clock
         self.core = core
         self.rule_checker = rule_checker
@@ -35,7 +35,7 @@
         self.keepalive_interval_s = config.empty_s
         self.driver = ModelDriver(clock, core, self._on_advanced)
         self.connections: set[DiscoveryConnection] = set()
-        self.is_down = False  # new connections are reset
+        self.is_down = False  # while it is set, new connections are reset
         self._proxy_count = proxy_count
         self._seconds_per_request = 1 / config.capacity
         self._max_wait_s = config.timeout_s
@@ -50,13 +50,13 @@
         ]
 
     def open(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         self._index_sent = self.core.index
         for listener in self.listeners:
             listener.open()
 
     def reserve_turn(self) -> float | None:
-        """Seconds until a request that comes now is answered; None if it would wait too long."""
+        """Queue a request that arrives now. Returns its waiting time in seconds; None if that is too long."""
         now_s = self.clock.now() / 1000
         self._busy_until_s = max(self._busy_until_s, now_s) + self._seconds_per_request
         if self._busy_until_s - now_s > self._max_wait_s:
@@ -76,7 +76,7 @@
             connection.on_list_changed()
 
     def _count_as_known_later(self, entry: ListedEndpoint) -> None:
-        """Some seconds on, a drain or an end counts as known to all proxies, sent to them or not."""
+        """Schedule when all proxies have to know that a server drains or was removed."""
         when = self.clock.now() + COUNTS_AS_KNOWN_AFTER_MS
         self.clock.at(when, partial(self._count_as_known, entry))
 
@@ -88,12 +88,12 @@
             self.rule_checker.on_status_sent(self.clock.now(), proxy, entry.name, entry.status)
 
     def go_down(self) -> None:
-        """Reset all connections, and new ones until `is_down` is cleared."""
+        """Reset all connections, and any new connection until `is_down` is cleared."""
         self.is_down = True
         reset_all(self.connections)
 
     def move(self, linger_s: float) -> None:
-        """Move to other addresses. The old ones refuse, and their connections are closed after `linger_s`."""
+        """Move to new addresses. The old ones refuse connections; open connections close after `linger_s`."""
         old_listeners = self.listeners
         old_connections = list(self.connections)
         self.listeners = self._new_listeners()
@@ -103,7 +103,7 @@
             listener.close()
 
         def close_old_connections() -> None:
-            """Close what was connected to the old addresses."""
+            """Close the connections to the old addresses."""
             for connection in old_connections:
                 if connection.transport:
                     connection.transport.close()
@@ -111,7 +111,7 @@
         self.clock.loop.call_later(linger_s, close_old_connections)
 
     def close(self) -> None:
-        """End discovery for good."""
+        """Close all listeners and connections permanently."""
         for listener in self.listeners:
             listener.close()
         self.go_down()
--- a/lupinladder/emulator/endpoint_list.py
+++ b/lupinladder/emulator/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Discovery's list of servers: entries, versions, what each watch has still to be sent, and the delay.
+"""Discovery's endpoint list: its entries and version, recent changes, and changes not yet detected.
 
-PROTOCOL, "Discovery". A change becomes part of the list when discovery notices it, some time after it
+See PROTOCOL, "Discovery". A change is applied to the list when discovery detects it, some time after it
 happened. The module does no I/O.
 """
 
@@ -13,12 +13,12 @@
 from math import inf
 from typing import NamedTuple
 
-MAX_CHANGES_KEPT = 4096  # for watches that resume; one that is further behind gets the whole list
-UNKNOWN_ADDRESS = "127.0.0.1:1"  # of a server that has gone
+MAX_CHANGES_KEPT = 4096  # for watches that resume; a watch at an older version gets a snapshot
+UNKNOWN_ADDRESS = "127.0.0.1:1"  # of a server that was removed
 
 
 class EndpointStatus(StrEnum):
-    """The status of a server, in discovery's spelling."""
+    """The status of a server, with the values that discovery writes."""
 
     ACTIVE = "active"
     DRAINING = "leaving"
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedEndpoint:
-    """One server as the list shows it; the fields are the keys that discovery writes."""
+    """One server in the list; the fields are the JSON keys that discovery writes."""
 
     name: str
     zone: str
@@ -36,35 +36,35 @@
     status: str  # an EndpointStatus
     since_ms: int
     weight: float = 1.0
-    address: str = ""  # filled in for each proxy when the entry is written
+    address: str = ""  # set for each proxy when the entry is written
 
 
 class EndpointChanges(NamedTuple):
-    """What a watch has to be sent."""
+    """The entries to send to a watch or poll."""
 
-    is_snapshot: bool  # the whole list, in place of the changes alone
+    is_snapshot: bool  # whether the entries are the whole list, not a delta
     entries: list[ListedEndpoint]
 
 
 class _NoticedChange(NamedTuple):
-    at: float  # ms
-    sequence_number: int  # breaks ties
+    at: float  # time in ms
+    sequence_number: int  # orders changes with the same time
     entry: ListedEndpoint
 
 
 class EndpointList:
-    """The list, its version (`index`), and the changes that are still to be noticed."""
+    """The list, its version (`index`), and the changes that discovery has yet to detect."""
 
     def __init__(self) -> None:
         self.index = 1
         self.entries: dict[str, ListedEndpoint] = {}
-        self.added_delay_ms = 0.0  # until a change is noticed; faults change it
-        self._changes: list[tuple[int, ListedEndpoint]] = []  # with the version of the list after each
+        self.added_delay_ms = 0.0  # added to the time until a change is detected; set by faults
+        self._changes: list[tuple[int, ListedEndpoint]] = []  # each with the list version that it led to
         self._to_be_noticed: list[_NoticedChange] = []  # a heap
         self._sequence_number = 0
 
     def put(self, entry: ListedEndpoint) -> None:
-        """Change the list at once."""
+        """Apply a change to the list immediately."""
         self.index += 1
         if entry.status == EndpointStatus.REMOVED:
             self.entries.pop(entry.name, None)
@@ -74,13 +74,13 @@
         del self._changes[:-MAX_CHANGES_KEPT]
 
     def notice_at(self, when: float, entry: ListedEndpoint) -> None:
-        """Change the list at this time (ms), when discovery notices the change."""
+        """Schedule a change for the time in ms at which discovery detects it."""
         self._sequence_number += 1
         change = _NoticedChange(when + self.added_delay_ms, self._sequence_number, entry)
         heapq.heappush(self._to_be_noticed, change)
 
     def advance(self, now: float) -> bool:
-        """Apply the changes noticed by now. Returns whether the list has changed."""
+        """Apply the changes detected by now. Returns whether the list has changed."""
         has_changed = False
         while self._to_be_noticed and self._to_be_noticed[0].at <= now:
             entry = heapq.heappop(self._to_be_noticed).entry
@@ -90,18 +90,18 @@
         return has_changed
 
     def _is_outdated(self, entry: ListedEndpoint) -> bool:
-        """Whether news of a drain or an end comes when the server is gone, or back under its old id."""
+        """Return whether a drain or removal is outdated: the server was removed or has restarted since."""
         if entry.status == EndpointStatus.ACTIVE:
             return False
         known = self.entries.get(entry.name)
         return known is None or known.since_ms != entry.since_ms
 
     def next_wakeup(self) -> float:
-        """When the next change is noticed, in ms; infinity if there is none."""
+        """Return the time in ms at which the next change is detected; infinity if there is none."""
         return self._to_be_noticed[0].at if self._to_be_noticed else inf
 
     def since(self, index: int) -> EndpointChanges:
-        """What has changed after this version of the list, or the whole list if that is not known."""
+        """Return the changes after this version of the list; the whole list if they are not all kept."""
         oldest_known = self.index - len(self._changes)
         if index <= 0 or index > self.index or index < oldest_known:
             return EndpointChanges(True, list(self.entries.values()))
@@ -109,7 +109,7 @@
         return EndpointChanges(False, list(latest.values()))
 
     def text(self, is_snapshot: bool, entries: list[ListedEndpoint], addresses: dict[str, str]) -> bytes:
-        """One JSON object as discovery writes it; the addresses, by name, are those for one proxy."""
+        """Encode entries as the JSON object that discovery writes, with the addresses for one proxy."""
         written = [replace(entry, address=addresses.get(entry.name, UNKNOWN_ADDRESS)) for entry in entries]
         tree = {
             "index": self.index,
--- a/lupinladder/emulator/environment_faults.py
+++ b/lupinladder/emulator/environment_faults.py
@@ -7,18 +7,18 @@
 from lupinladder.emulator.fault_context import FaultContext, FaultHandler
 from lupinladder.emulator.scenario import FaultConfig
 
-OLD_DISCOVERY_LINGERS_S = 1.5  # for which connections to the old address stay open after a move
+OLD_DISCOVERY_LINGERS_S = 1.5  # time for which connections to the old address stay open after a move
 
 
 class EnvironmentFaults:
-    """Plays the faults of what the cache nodes and the proxies depend on."""
+    """Injects the faults of discovery, the origin, the clock and the network."""
 
     def __init__(self, context: FaultContext) -> None:
         self._context = context
         self._cluster = context.cluster
 
     def handlers(self) -> dict[str, FaultHandler]:
-        """The handlers, by kind of fault."""
+        """Return the handlers by kind of fault."""
         return {
             "hot-key": self._mark_hot_key,
             "late-list": self._delay_list,
@@ -31,12 +31,12 @@
         }
 
     async def _mark_hot_key(self, fault: FaultConfig) -> None:
-        """Hot keys are part of the arrivals, which are drawn ahead: nothing is left to do here."""
+        """Wait until the hot key ends. The arrivals, which are drawn in advance, already contain it."""
         await asyncio.sleep(fault.for_s)
         self._context.mark("hot key over")
 
     async def _delay_list(self, fault: FaultConfig) -> None:
-        """Discovery notices changes `size` seconds later."""
+        """Delay the detection of changes by discovery by `size` seconds."""
         endpoints = self._cluster.endpoints
         endpoints.added_delay_ms += fault.size * 1000
         await asyncio.sleep(fault.for_s)
@@ -44,7 +44,7 @@
         self._context.mark("list in time again")
 
     async def _stop_discovery(self, fault: FaultConfig) -> None:
-        """Discovery resets its connections and every new one."""
+        """Reset all connections to discovery, and any new one while the fault lasts."""
         discovery = self._cluster.discovery
         discovery.go_down()
         await asyncio.sleep(fault.for_s)
@@ -52,13 +52,13 @@
         self._context.mark("list back")
 
     async def _move_discovery(self, _fault: FaultConfig) -> None:
-        """Discovery moves; the proxies' files name the new address and they get SIGHUP."""
+        """Move discovery to a new address, write it to the proxies' configuration and send them SIGHUP."""
         self._cluster.discovery.move(OLD_DISCOVERY_LINGERS_S)
         for proxy in self._context.proxies.all:
             self._context.proxies.hup(proxy)
 
     async def _slow_origin(self, fault: FaultConfig) -> None:
-        """The origin is `size` times as slow."""
+        """Make the origin slower by the factor `size`."""
         queue = self._cluster.origin.core.queue
         queue.slowdown *= fault.size
         await asyncio.sleep(fault.for_s)
@@ -66,18 +66,18 @@
         self._context.mark("origin as before")
 
     async def _relist_origin(self, _fault: FaultConfig) -> None:
-        """The list names another start of the origin; its process and its connections run on."""
+        """Announce a new start time of the origin; its process and connections are not affected."""
         self._cluster.relist_origin()
 
     async def _step_wall_clock(self, fault: FaultConfig) -> None:
-        """The wall clock of all machines is stepped by `size` seconds."""
+        """Step the wall clock of all machines by `size` seconds."""
         system = self._context.proxies.system
         assert system
         system.step_wall_clock(fault.size * 1000)
         self._cluster.wall_step_ms += fault.size * 1000
 
     async def _delay_zone(self, fault: FaultConfig) -> None:
-        """The paths between a zone and the others take `size` seconds more."""
+        """Add `size` seconds to the delay of the paths between a zone and the others."""
         zone = self._cluster.scenario.fleet.zones.index(fault.zone)
         paths = self._cluster.paths_between_zones(zone)
         for path in paths:
--- a/lupinladder/emulator/fault_context.py
+++ b/lupinladder/emulator/fault_context.py
@@ -1,4 +1,4 @@
-"""What the faults of a run act on."""
+"""The objects that the fault handlers of a run use."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from lupinladder.emulator.scenario import FaultConfig
 
 FaultHandler = Callable[[FaultConfig], Coroutine[Any, Any, None]]
-"""Plays one fault from its begin to its end."""
+"""Runs one fault from its start to its end."""
 
 
 @dataclass(frozen=True, slots=True)
 class FaultContext:
-    """The parts of a run, and the one stream of random numbers that all faults draw from."""
+    """The parts of a run that faults act on, and the random stream that all faults share."""
 
     cluster: Cluster
     proxies: Proxies
     selector: ProxySelector
     rng: np.random.Generator
-    mark: Callable[[str], None]  # notes an event of the run
+    mark: Callable[[str], None]  # records an event of the run's timeline
 
     @property
     def clock(self) -> Clock:
@@ -35,7 +35,7 @@
         return self.cluster.clock
 
     def pick_nodes(self, share: float) -> list[CacheNodeServer]:
-        """Draw this share of the cache nodes, at least one."""
+        """Pick a random share of the cache nodes, at least one."""
         nodes = sorted(self.cluster.nodes.values(), key=lambda node: node.core.name)
         count = max(1, round(share * len(nodes)))
         return [nodes[n] for n in self.rng.permutation(len(nodes))[:count]]
--- a/lupinladder/emulator/faults.py
+++ b/lupinladder/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a scenario, played at their times. docs/emulator.md has the table of kinds and settings."""
+"""Injection of a scenario's faults at their times. docs/emulator.md lists their kinds and settings."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from lupinladder.emulator.scenario import FaultConfig
 from lupinladder.emulator.workload import random_stream
 
-FINISH_TIMEOUT_S = 8  # for faults that still run when the load is over
+FINISH_TIMEOUT_S = 8  # for faults that still run when the load has ended
 
 
 class FaultInjector:
-    """Plays faults, and notes what happened for people and plots."""
+    """Runs the faults of a scenario, and records the timeline of events for reports and plots."""
 
     def __init__(self, cluster: Cluster, proxies: Proxies, selector: ProxySelector, start: float) -> None:
-        """`start` is when the counted part begins, in ms."""
-        self.marks: list[tuple[float, str]] = []  # seconds from the start, and what happened
-        self.errors: list[str] = []  # of faults that could not be played: with any, the run is void
+        """`start` is the time in ms at which the measured part of the run starts."""
+        self.marks: list[tuple[float, str]] = []  # seconds from the start, and a description
+        self.errors: list[str] = []  # errors of fault handlers; any error makes the run void
         self._clock = cluster.clock
         self._start = start
         self._tasks: set[asyncio.Task[None]] = set()
@@ -41,7 +41,7 @@
         self.marks.append(((self._clock.now() - self._start) / 1000, what))
 
     def plan(self, faults: list[FaultConfig]) -> None:
-        """Play these faults when their times come."""
+        """Schedule these faults at their times."""
         for fault in faults:
             self._clock.at(self._start + fault.at * 1000, partial(self._begin, fault))
 
@@ -54,11 +54,11 @@
     def _on_played(self, fault: FaultConfig, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
-        if error:  # the run goes on and is void
+        if error:  # the run continues but is void
             self.errors.append(f"fault {fault.kind} at {fault.at:g} s: {error}")
 
     async def finish(self) -> None:
-        """Wait for faults that are still being played, for a short while, and then end them."""
+        """Wait up to FINISH_TIMEOUT_S for faults that still run, then cancel them."""
         if self._tasks:
             await asyncio.wait(list(self._tasks), timeout=FINISH_TIMEOUT_S)
         for task in list(self._tasks):
--- a/lupinladder/emulator/http_connection.py
+++ b/lupinladder/emulator/http_connection.py
@@ -1,4 +1,4 @@
-"""What the connections of the emulated HTTP/1.1 servers share: the parser and the end of a bad connection."""
+"""The base class of connections to the emulated HTTP/1.1 servers: it parses requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HttpServerConnection(asyncio.Protocol):
-    """One connection from a proxy. Subclasses are told of each whole request by `on_message_complete`."""
+    """One connection from a proxy. Calls `on_message_complete` of the subclass for each request."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -16,7 +16,7 @@
         self._url = b""
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a request; close the connection if it is not HTTP/1.1."""
+        """Parse received bytes; close the connection if they are not valid HTTP/1.1."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -24,11 +24,11 @@
                 self.transport.close()
 
     def on_url(self, url: bytes) -> None:
-        """The parser has read a part of the path and the query string."""
+        """Add a part of the path and query string, called by the parser."""
         self._url += url
 
     def _take_url(self) -> bytes:
-        """The path and the query string of the request that is complete."""
+        """Return the path and query string of the complete request, and clear them for the next."""
         url = self._url
         self._url = b""
         return url
--- a/lupinladder/emulator/http_encoding.py
+++ b/lupinladder/emulator/http_encoding.py
@@ -1,4 +1,4 @@
-"""Encoding of the HTTP/1.1 responses that the origin and discovery write."""
+"""Encoding of the HTTP/1.1 responses of the emulated origin and discovery."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def encode_response(status: HTTPStatus, body: bytes, headers: Mapping[bytes, bytes] = NO_HEADERS) -> bytes:
-    """A whole response, with its length and these headers."""
+    """Encode a complete response with a Content-Length header and these headers."""
     lines = [
         b"HTTP/1.1 %d %b" % (status, status.phrase.encode()),
         b"Content-Length: %d" % len(body),
--- a/lupinladder/emulator/load_report.py
+++ b/lupinladder/emulator/load_report.py
@@ -11,27 +11,27 @@
 
 
 class _ReportedReply(NamedTuple):
-    at: float  # ms
-    work: float  # ms
+    at: float  # time in ms
+    work: float  # in ms
     failed: bool
 
 
 class LoadReporter:
-    """Failures, latency, rate and requests in flight over the last second, renewed at an interval."""
+    """Reports failures, latency, request rate and requests in flight, recomputed at an interval."""
 
     def __init__(self, queue: ProcessorSharingQueue, interval_ms: float) -> None:
         self._queue = queue
         self._interval_ms = interval_ms
-        self._replies: list[_ReportedReply] = []  # of the window
+        self._replies: list[_ReportedReply] = []  # of the last REPORT_WINDOW_MS
         self._report = b""
         self._reported_at = -inf
 
     def record(self, now: float, work: float, failed: bool) -> None:
-        """A request has been served, or has failed, after so much work (ms)."""
+        """Record a request that was served or has failed, with its work in ms."""
         self._replies.append(_ReportedReply(now, work, failed))
 
     def report(self, now: float) -> bytes:
-        """The report as it stands in a reply written now."""
+        """Return the report for a reply written now."""
         if now - self._reported_at >= self._interval_ms:
             self._reported_at = now
             self._report = self._compute(now)
--- a/lupinladder/emulator/node_faults.py
+++ b/lupinladder/emulator/node_faults.py
@@ -1,4 +1,4 @@
-"""Faults of cache nodes: replacement, loss and growth, silence, resets, and nodes that are slow."""
+"""Faults of cache nodes: replaced, removed and added nodes, isolation, resets, corruption and slow nodes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from lupinladder.emulator.response_corruption import ResponseCorruption
 from lupinladder.emulator.scenario import CORRUPTIONS, FaultConfig
 
-PAUSED_SLOWDOWN = 1e6  # times as slow as usual: a machine that stands still
-PAUSE_INTERVAL = (2, 8)  # times the length of a pause, between pauses
-NEIGHBOUR_INTERVAL_S = (0.5, 1.5)  # between a neighbour's starts and stops
-MIN_NEIGHBOUR_LEAVES = 0.05  # of a machine
+PAUSED_SLOWDOWN = 1e6  # slowdown factor of a node that is paused
+PAUSE_INTERVAL = (2, 8)  # range of the time between pauses, as a multiple of the pause
+NEIGHBOUR_INTERVAL_S = (0.5, 1.5)  # range of the time between the starts and stops of a neighbour
+MIN_NEIGHBOUR_LEAVES = 0.05  # minimum share of a machine's capacity that a neighbour leaves to the node
 
 
 class NodeFaults:
-    """Plays the faults of cache nodes."""
+    """Injects the faults of cache nodes."""
 
     def __init__(self, context: FaultContext) -> None:
         self._context = context
@@ -26,7 +26,7 @@
         self._clock = context.clock
 
     def handlers(self) -> dict[str, FaultHandler]:
-        """The handlers, by kind of fault."""
+        """Return the handlers by kind of fault."""
         return {
             "deploy": self._deploy,
             "shrink": self._shrink,
@@ -39,9 +39,10 @@
         }
 
     async def _deploy(self, fault: FaultConfig) -> None:
-        """Replace a part of the nodes, a batch at a time, each by one that starts cold under a new id.
+        """Replace a part of the nodes in batches, each by a node with a new id that starts with a cold cache.
 
-        The new node starts as the drain begins or, at the same address, when the old one has ended.
+        The new node starts when the drain of the old one starts. With `reuse` it starts at the same address
+        when the old node has ended.
         """
         nodes = self._context.pick_nodes(fault.part)
         batch_size = max(1, round(fault.batch * self._cluster.scenario.fleet.nodes))
@@ -70,7 +71,7 @@
                 self._cluster.end_node(node)
 
     async def _shrink(self, fault: FaultConfig) -> None:
-        """A part of the nodes leaves for good, spread over the time."""
+        """Remove a part of the nodes permanently, one after another over the time of the fault."""
         all_but_one = 1 - 1 / len(self._cluster.nodes)
         nodes = self._context.pick_nodes(min(fault.part, all_but_one))
         for node in nodes:
@@ -84,13 +85,13 @@
             self._cluster.end_node(node)
 
     async def _grow(self, fault: FaultConfig) -> None:
-        """Nodes that start cold join in one step, as many as a part of the cluster."""
+        """Add nodes with cold caches, all at once; their number is a part of the cluster's size."""
         config = self._cluster.scenario.fleet
         for n in range(max(1, round(fault.part * config.nodes))):
             self._cluster.start_node(n % len(config.zones))
 
     async def _cut_off(self, fault: FaultConfig) -> None:
-        """Machines are cut off, and come back under their old ids, cold."""
+        """Isolate some machines from the network, then restart them under their old ids with cold caches."""
         notice_s = self._cluster.scenario.discovery.silent_notice_s
         for node in self._context.pick_nodes(fault.part):
             node.stop_responding()
@@ -101,12 +102,12 @@
         await asyncio.sleep(fault.for_s)
 
     async def _reset_connections(self, fault: FaultConfig) -> None:
-        """All connections of some nodes are reset; the processes run on."""
+        """Reset all connections of some nodes; the processes continue to run."""
         for node in self._context.pick_nodes(fault.part):
             node.reset_connections()
 
     async def _corrupt_replies(self, fault: FaultConfig) -> None:
-        """A part of the replies of all nodes is corrupted, or follows interim responses of the origin."""
+        """Corrupt a part of the replies of all nodes; for `interim`, the origin sends interim responses."""
         corruptions = [fault.how] if fault.how else list(CORRUPTIONS)
         corruption = ResponseCorruption(self._context.rng, corruptions, fault.part)
         nodes = list(self._cluster.nodes.values())
@@ -120,12 +121,12 @@
         self._context.mark("answers clean again")
 
     def _slow_down(self, node: CacheNodeServer, factor: float) -> None:
-        node.driver.update()  # what was done until now was done at the old speed
+        node.driver.update()  # accounts for the work until now at the old speed
         node.core.queue.slowdown *= factor
         node.driver.update()
 
     async def _pause_nodes(self, fault: FaultConfig) -> None:
-        """A part of the nodes stands still for `size` seconds at a time, each at times of its own."""
+        """Pause some nodes repeatedly for `size` seconds, each at its own random times."""
         end = self._clock.now() + fault.for_s * 1000
         nodes = self._context.pick_nodes(fault.part)
         await asyncio.gather(*(self._pause_now_and_then(node, fault.size, end) for node in nodes))
@@ -141,7 +142,7 @@
             self._slow_down(node, 1 / PAUSED_SLOWDOWN)
 
     async def _take_capacity(self, fault: FaultConfig) -> None:
-        """Another program takes the share `size` of some machines, on and off."""
+        """Let another program take the share `size` of some machines' capacity, with interruptions."""
         nodes = self._context.pick_nodes(fault.part)
         end = self._clock.now() + fault.for_s * 1000
         remaining_capacity = max(1 - fault.size, MIN_NEIGHBOUR_LEAVES)
--- a/lupinladder/emulator/node_request.py
+++ b/lupinladder/emulator/node_request.py
@@ -10,13 +10,13 @@
 
 
 class ReplyType(StrEnum):
-    """What a server answered, in the spelling that the rule checker reads."""
+    """The type of a server's reply, with the values that the rule checker reads."""
 
     HIT = "hit"
     MISS = "miss"
-    MISS_PENDING = "pending"  # another request has already begun to fetch the key
-    VALUE = "value"  # of the origin, for a read
-    RECEIPT = "receipt"  # of the origin, for a write
+    MISS_PENDING = "pending"  # a miss while another request already fetches the key
+    VALUE = "value"  # from the origin, for a read
+    RECEIPT = "receipt"  # from the origin, for a write
     BUSY = "busy"
     FAILED = "failed"
     HEALTH_CHECK = "probe"
@@ -31,7 +31,7 @@
 class NodeRequest:
     """One request at a server.
 
-    `reply` is called once, with the bytes of the reply and what it is, and not at all once the request was
+    `reply` is called once, with the bytes and the type of the reply. It is not called after the request was
     cancelled.
     """
 
--- a/lupinladder/emulator/origin.py
+++ b/lupinladder/emulator/origin.py
@@ -1,6 +1,7 @@
-"""The model of the origin: slow, of limited capacity, and down for a while after a long heavy overload.
+"""The model of the origin: slow, with limited capacity, and down for some time after a sustained overload.
 
-PROTOCOL, "Proxies to cache nodes"; the stop: BENCH, "This kind of server". The model does no I/O.
+See PROTOCOL, "Proxies to cache nodes", and for the stop after an overload BENCH, "This kind of server". The
+model does no I/O.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 
 class _Arrival(NamedTuple):
-    at: float  # ms
-    work: float  # ms
+    at: float  # time in ms
+    work: float  # in ms
 
 
 class OriginModel:
     """The origin. It replies with VALUE, RECEIPT, BUSY or DOWN.
 
-    Every call says what time it is, in ms, and never an earlier time than the call before.
+    Every call passes the current time in ms, which never decreases from call to call.
     """
 
     def __init__(
@@ -41,29 +42,29 @@
         shared_data: SharedData,
         rng: np.random.Generator,
     ) -> None:
-        """`capacity` is in fetches a second."""
+        """`capacity` is in fetches per second."""
         cores = max(capacity * config.work_ms / 1000, MIN_CORES)
         slots = max(MIN_SLOTS, round(cores * SLOTS_PER_CORE))
         room = max(MIN_ROOM, int(capacity * config.room_s))
         self.queue = ProcessorSharingQueue(now, cores, 1.0, slots, room)
-        self.down_until = 0.0  # ms
-        self.stops = 0  # because of overload
+        self.down_until = 0.0  # time in ms
+        self.stops = 0  # number of stops because of overload
         self.served = 0
         self._config = config
         self._shared_data = shared_data
         self._rng = rng
         self._recent_writes = DeduplicationTable()
-        self._recent_arrivals: deque[_Arrival] = deque()  # of the last `fall_s`, also those turned down
-        self._recent_work = 0.0  # of these, ms
-        self._fetches: dict[bytes, list[NodeRequest]] = {}  # by key; one job serves all requests of a list
+        self._recent_arrivals: deque[_Arrival] = deque()  # of the last `fall_s` seconds, with rejected ones
+        self._recent_work = 0.0  # sum of the work of `_recent_arrivals` in ms
+        self._fetches: dict[bytes, list[NodeRequest]] = {}  # by key; one job serves all requests of a key
 
     def _draw_work(self) -> float:
-        """Draw the work of one fetch, in ms: lognormal about the mean."""
+        """Draw the work of one fetch in ms from a lognormal distribution with the configured mean."""
         sigma = self._config.sigma
         return float(self._config.work_ms * self._rng.lognormal(-sigma * sigma / 2, sigma))
 
     def submit(self, now: float, request: NodeRequest) -> None:
-        """A whole request has arrived. Sets its work."""
+        """Draw the work of a request that has arrived completely, and serve, coalesce or reject it."""
         self.advance(now)
         request.work = self._draw_work()
         self._record_arrival(now, request.work)
@@ -80,7 +81,7 @@
             self._fetches[request.key] = [request]
 
     def _record_arrival(self, now: float, work: float) -> None:
-        """Stop if the work that came within `fall_s` seconds is over the multiple of what could be done."""
+        """Stop if the work of the last `fall_s` seconds exceeds `fall_multiple` times the capacity."""
         window_ms = self._config.fall_s * 1000
         self._recent_arrivals.append(_Arrival(now, work))
         self._recent_work += work
@@ -95,7 +96,7 @@
             self._recent_work = 0.0
 
     def cancel(self, now: float, request: NodeRequest) -> None:
-        """Nobody waits for this request. A write goes on, and so does a fetch that others have joined."""
+        """Cancel a request. A write, a running fetch and a fetch with other waiting requests continue."""
         self.advance(now)
         waiting = self._fetches.get(request.key, [])
         if request in waiting and len(waiting) > 1:
@@ -113,7 +114,7 @@
         request.job = None
 
     def advance(self, now: float) -> None:
-        """Reply to whatever is done by now."""
+        """Reply to all requests that are done by now."""
         for job in self.queue.advance(now):
             request: NodeRequest = job.owner
             self.served += 1
@@ -135,5 +136,5 @@
             waiting.reply(value, ReplyType.VALUE)
 
     def next_wakeup(self) -> float:
-        """When `advance` must be called at the latest, in ms; infinity if nothing is under way."""
+        """Return the latest time in ms of the next call of `advance`; infinity if no job runs."""
         return self.queue.next_completion()
--- a/lupinladder/emulator/origin_connection.py
+++ b/lupinladder/emulator/origin_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a proxy to the origin: HTTP/1.1 requests, replied to in order."""
+"""One connection from a proxy to the origin: HTTP/1.1 requests with responses in order."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class OriginConnection(HttpServerConnection):
-    """One connection from a proxy."""
+    """Reads requests from one proxy, submits them to the origin and writes the responses."""
 
     def __init__(self, server: OriginServer, proxy: int) -> None:
         super().__init__()
@@ -35,12 +35,12 @@
         self._clock = server.clock
         self._requests = DelayedChannel(self._clock, server.paths[proxy])
         self._replies = ReplyPipeline(DelayedChannel(self._clock, server.paths[proxy]), self._write)
-        self._raw = bytearray()  # the bytes of the request that is arriving
-        self._first_byte_at = 0.0  # of that request
+        self._raw = bytearray()  # bytes received of the current request
+        self._first_byte_at = 0.0  # time in ms of its first byte
         self._headers: dict[bytes, bytes] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, or reset it if there are too many or the origin is down."""
+        """Accept the connection, or reset it if the origin is down or has too many."""
         self.transport = as_stream_transport(transport)
         is_down = self._clock.now() < self._server.core.down_until
         if is_down or len(self._server.connections) >= MAX_CONNECTIONS:
@@ -49,7 +49,7 @@
         self._server.connections.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Cancel what the connection still waits for."""
+        """Cancel the requests of the connection that have no reply yet."""
         self._server.connections.discard(self)
         self._replies.abandon(self._server.rule_checker, self._cancel)
 
@@ -57,18 +57,18 @@
         self._server.core.cancel(self._clock.now(), request)
 
     def data_received(self, data: bytes) -> None:
-        """Keep the bytes of the request, for the rule checker, and parse them."""
+        """Parse received bytes, and keep them for the rule checker."""
         if not self._raw:
             self._first_byte_at = self._clock.now()
         self._raw += data
         super().data_received(data)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser has read a header."""
+        """Keep a header of the request, called by the parser."""
         self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """The parser has read a whole request."""
+        """Serve a complete request or health check."""
         path = self._take_url()
         headers = self._headers
         raw = bytes(self._raw)
@@ -137,7 +137,7 @@
 
 
 def _read_labels(headers: dict[bytes, bytes]) -> dict[bytes, bytes] | None:
-    """The labels of a request; None if it has none that can be read."""
+    """Parse the labels of a request; None if they are missing or invalid."""
     try:
         return parse_labels(headers[b"x-labels"])
     except (KeyError, LabelSyntaxError):
--- a/lupinladder/emulator/origin_server.py
+++ b/lupinladder/emulator/origin_server.py
@@ -25,14 +25,14 @@
         missed_at_warming_node: Callable[[bytes], bool] = lambda _request_id: False,
         overload_window_ms: float = 3000.0,
     ) -> None:
-        """`missed_at_warming_node`: whether a miss at a node that warms up began the fetch of a request."""
+        """`missed_at_warming_node` returns whether a fetch follows a miss at a node that is warming up."""
         self.clock = clock
         self.core = core
         self.rule_checker = rule_checker
         self.paths = paths
         self.driver = ModelDriver(clock, core)
         self.connections: set[OriginConnection] = set()
-        self.sends_interim_responses = False  # faults change it
+        self.sends_interim_responses = False  # set by faults
         self._missed_at_warming_node = missed_at_warming_node
         self._overload_window_ms = overload_window_ms
         self._stops_seen = 0
@@ -41,12 +41,12 @@
         ]
 
     def open(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         for listener in self.listeners:
             listener.open()
 
     def submit(self, request: NodeRequest) -> None:
-        """A whole request has arrived. If it makes the origin stop, all connections are reset."""
+        """Submit a complete request. If its load makes the origin stop, all connections are reset."""
         now = self.clock.now()
         self.core.submit(now, request)
         is_from_warming_node = not request.is_write and self._missed_at_warming_node(request.request_id)
--- a/lupinladder/emulator/peers.py
+++ b/lupinladder/emulator/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between proxies, delayed or lost: one relay socket for each pair of proxies and direction."""
+"""Relays for datagrams between proxies, with delay and loss: one socket per pair of proxies and direction."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Peers:
-    """Relays between the proxies, which are told the relays' addresses in place of each other's.
+    """Relays datagrams between the proxies, which are configured with the relays' addresses.
 
-    `addresses(p)` are what proxy p is told as `peers`. What it sends there arrives at the others' listeners
-    from the address that stands for p in their lists.
+    Proxy p is configured with `addresses(p)` as `peers`. A datagram that it sends to one of them arrives at
+    the listener of that peer, from the address that the peer has for p.
     """
 
     def __init__(
@@ -49,15 +49,15 @@
         return transport
 
     def addresses(self, sender: int) -> list[str]:
-        """Where this proxy sends to reach each of the proxies."""
+        """Return the address at which this proxy reaches each proxy."""
         return [_format_address(self._relays[sender, other]) for other in range(len(self._listeners))]
 
     def to_all(self, sender: int) -> str:
-        """Where this proxy sends to reach all others at once."""
+        """Return the address at which this proxy reaches all others with one datagram."""
         return _format_address(self._broadcast_relays[sender])
 
     def relay(self, sender: int, receivers: list[int], data: bytes) -> None:
-        """Pass a datagram on to these proxies, unless it is lost or too long."""
+        """Forward a datagram to these proxies, unless it is lost or too long."""
         if len(data) > MAX_DATAGRAM_SIZE:
             self.too_long += 1
             return
@@ -70,10 +70,10 @@
             self._send_later(delay_ms, sender, receiver, data)
 
     def _send_later(self, delay_ms: float, sender: int, receiver: int, data: bytes) -> None:
-        transport = self._relays[receiver, sender]  # the socket that stands for the sender at the receiver
+        transport = self._relays[receiver, sender]  # the receiver knows the sender by this socket's address
 
         def send() -> None:
-            """Send the datagram, unless the run has ended meanwhile."""
+            """Send the datagram unless the relay was closed meanwhile."""
             if not transport.is_closing():
                 transport.sendto(data, self._listeners[receiver])
 
@@ -91,7 +91,7 @@
 
 
 class _Relay(asyncio.DatagramProtocol):
-    """A socket to which one proxy sends what is meant for `receivers`."""
+    """A socket that forwards the datagrams of one proxy to `receivers`."""
 
     def __init__(self, peers: Peers, sender: int, receivers: list[int]) -> None:
         self._peers = peers
@@ -99,5 +99,5 @@
         self._receivers = receivers
 
     def datagram_received(self, data: bytes, _addr: object) -> None:
-        """Pass the datagram on."""
+        """Forward the datagram."""
         self._peers.relay(self._sender, self._receivers, data)
--- a/lupinladder/emulator/ports.py
+++ b/lupinladder/emulator/ports.py
@@ -1,4 +1,4 @@
-"""Free ports of loopback."""
+"""Selection of free ports on the emulator's loopback address."""
 
 from __future__ import annotations
 
@@ -10,22 +10,21 @@
 from lupinladder.errors import LupinladderError
 
 FIRST_PORT = 12_000
-LAST_PORT = 31_999  # the system gives outgoing connections ports above
+LAST_PORT = 31_999  # the operating system uses higher ports for outgoing connections
 MAX_TRIES = 200
 
 
 class NoFreePortError(LupinladderError, RuntimeError):
-    """No free port was found."""
+    """No free port was found in the range."""
 
     def __init__(self) -> None:
         super().__init__(f"no free port from {FIRST_PORT} to {LAST_PORT}")
 
 
 def free_port() -> int:
-    """A port of loopback that is free now, below those that the system gives to outgoing connections.
+    """Return a port that is free now, below the range that the system uses for outgoing connections.
 
-    A proxy that is away for a second must find its port free when it comes back. NoFreePortError if there
-    is none.
+    A proxy that restarts must find its port still free. Raises NoFreePortError if no port is found.
     """
     for _ in range(MAX_TRIES):
         with socket.socket() as trial, suppress(OSError):
--- a/lupinladder/emulator/processor_sharing_queue.py
+++ b/lupinladder/emulator/processor_sharing_queue.py
@@ -1,10 +1,11 @@
 """A processor-sharing queue: the cores of a server, shared evenly by the jobs in its slots.
 
-The queue works in virtual time. Every running job gets the same rate, so one running sum of that rate tells
-when each job will be done, and a heap holds the jobs in the order of their completion.
+The queue works in virtual time, which is the integral of the rate at which each running job is served. All
+running jobs have the same rate, so the virtual time at which a job completes is known when it starts, and a
+heap keeps the jobs in the order of completion.
 
-The module does no I/O and reads no clock. Every call says what time it is, in milliseconds, and never an
-earlier time than the call before.
+The module does no I/O and reads no clock. Every call passes the current time in milliseconds, which never
+decreases from call to call.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from lupinladder.errors import LupinladderError
 
 ROUNDING_TOLERANCE_MS = 1e-6
-WARMUP_STEP_MS = 100.0  # for which the rate of a queue that is warming up is taken as constant
+WARMUP_STEP_MS = 100.0  # maximum time for which the rate is taken as constant during warm-up
 
 
 class QueueNotAdvancedError(LupinladderError, ValueError):
@@ -32,23 +33,23 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUp:
-    """How a server that starts with empty caches comes to its full capacity."""
+    """How the capacity of a server that starts with an empty cache rises to the full capacity."""
 
     initial_capacity: float = 1.0  # share of the full capacity
-    duration_ms: float = 0.0  # until the full capacity, however little work is done
-    work_ms: float = inf  # work after which the capacity is full, however early
+    duration_ms: float = 0.0  # after which the capacity is full, however little work was done
+    work_ms: float = inf  # work after which the capacity is full, however little time has passed
 
 
 @dataclass(frozen=True, slots=True)
 class Thrashing:
-    """The efficiency that a server loses when it holds too many jobs at once."""
+    """The efficiency that a server loses when it has too many jobs at once."""
 
     loss_per_job: float = 0.0
-    threshold: int = 1 << 30  # jobs that it holds without loss
+    threshold: int = 1 << 30  # number of jobs up to which there is no loss
 
 
 class Job:
-    """Some work, in milliseconds of one core at speed 1, and its owner, who gets it back when it is done."""
+    """An amount of work, in milliseconds of one core at speed 1, and the object that it is done for."""
 
     __slots__ = ("done", "finish_at", "owner", "running", "work")
 
@@ -64,7 +65,7 @@
 
 
 class ProcessorSharingQueue:
-    """A server with `cores` at `speed`, which runs `slots` jobs at once while up to `room` others wait."""
+    """Runs up to `slots` jobs at once on `cores` cores of speed `speed`; up to `room` more jobs wait."""
 
     def __init__(
         self,
@@ -81,25 +82,25 @@
         self.speed = speed
         self.slots = slots
         self.room = room
-        self.slowdown = 1.0  # divides the speed; faults change it
+        self.slowdown = 1.0  # divides the speed; set by faults
         self.started = now
-        self.work_done = 0.0  # ms
+        self.work_done = 0.0  # in ms
         self._thrashing = thrashing or Thrashing()
         self._warm_up = warm_up or WarmUp()
         self._now = now
         self._virtual_time = 0.0
-        self._running: list[Job] = []  # a heap; cancelled jobs stay in it until they come to its top
-        self._running_count = 0  # without the cancelled ones
-        self._waiting: deque[Job] = deque()  # cancelled jobs stay in it until their turn
-        self._waiting_count = 0  # without the cancelled ones
+        self._running: list[Job] = []  # a heap; a cancelled job is removed when it reaches the top
+        self._running_count = 0  # without cancelled jobs
+        self._waiting: deque[Job] = deque()  # a cancelled job is removed when it reaches the front
+        self._waiting_count = 0  # without cancelled jobs
 
     @property
     def held(self) -> int:
-        """Jobs that run or wait."""
+        """The number of jobs that run or wait."""
         return self._running_count + self._waiting_count
 
     def warmth(self, now: float) -> float:
-        """The capacity that the server has now, as a share of its full one."""
+        """Return the current capacity as a share of the full capacity."""
         warm_up = self._warm_up
         if warm_up.duration_ms <= 0:
             return 1.0
@@ -107,21 +108,21 @@
         return min(1.0, warm_up.initial_capacity + (1 - warm_up.initial_capacity) * max(progress, 0.0))
 
     def capacity(self, now: float) -> float:
-        """Milliseconds of work done in a millisecond, without thrashing."""
+        """Return the work in ms that the server can do per millisecond, without thrashing."""
         return self.cores * self.speed * self.warmth(now)
 
     def _rate(self, now: float) -> float:
-        """Work done on each running job in a millisecond."""
+        """Return the work in ms that is done per millisecond on each running job."""
         excess = max(0, self.held - self._thrashing.threshold)
         efficiency = 1 / (1 + self._thrashing.loss_per_job * excess)
         core_share = min(1.0, self.cores / self._running_count)
         return core_share * self.speed * self.warmth(now) * efficiency / self.slowdown
 
     def offer(self, now: float, job: Job) -> bool:
-        """Take a job; False if there is no room for it.
+        """Add a job. Returns False if the queue is full.
 
-        The queue must have been advanced to this time, or the job would be credited with work done before
-        it came: then QueueNotAdvancedError is raised.
+        Raises QueueNotAdvancedError if the queue was not advanced to this time: the job would otherwise be
+        credited with work done before it arrived.
         """
         if not self._running_count:
             self._now = max(self._now, now)
@@ -143,7 +144,7 @@
         self._running_count += 1
 
     def advance(self, now: float) -> list[Job]:
-        """Work until this time. Returns the jobs completed by then, in order."""
+        """Serve jobs until this time. Returns the completed jobs in the order of completion."""
         completed: list[Job] = []
         while self._running_count:
             self._discard_cancelled()
@@ -151,7 +152,7 @@
             longest_step = WARMUP_STEP_MS if self.warmth(self._now) < 1 else inf
             step = min(max(now - self._now, 0.0), longest_step)
             until_completion = (self._running[0].finish_at - self._virtual_time) / rate
-            # Without the tolerance, rounding could leave a job a hair short of its end for ever.
+            # Without the tolerance, a rounding error could keep a job from ever completing.
             if until_completion <= step + ROUNDING_TOLERANCE_MS:
                 self._pass_time(max(until_completion, 0.0), rate)
                 completed.append(self._complete_next())
@@ -187,7 +188,7 @@
                 self._run(job)
 
     def next_completion(self) -> float:
-        """When to call `advance` again at the latest, in ms; infinity if no job runs."""
+        """Return the latest time in ms of the next call of `advance`; infinity if no job runs."""
         if not self._running_count:
             return inf
         self._discard_cancelled()
@@ -197,7 +198,7 @@
         return self._now + remaining
 
     def cancel(self, job: Job, running_too: bool) -> bool:
-        """Leave a job undone, a running one only if `running_too`. Returns whether it was cancelled."""
+        """Cancel a job, a running one only with `running_too`. Returns whether it was cancelled."""
         if job.done or (job.running and not running_too):
             return False
         job.done = True
--- a/lupinladder/emulator/reply_pipeline.py
+++ b/lupinladder/emulator/reply_pipeline.py
@@ -1,4 +1,4 @@
-"""The replies that a connection of a server owes, in the order of their requests."""
+"""The pending replies of a server's connection, in the order of their requests."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True, eq=False)
 class PendingReply:
-    """The reply to one request, ready or not."""
+    """The reply to one request, which may not be ready yet."""
 
-    data: bytes | None = None  # what will be written; None until it is ready
+    data: bytes | None = None  # bytes to write; None until the reply is ready
     request: NodeRequest | None = None
-    attempt: ObservedAttempt | None = None  # None for what is no attempt of a client's request
+    attempt: ObservedAttempt | None = None  # None if the request is no attempt of a client's request
     reply_type: ReplyType = ReplyType.FAILED
-    value: bytes = b""  # for the rule checker
+    value: bytes = b""  # passed to the rule checker
 
 
 class ReplyPipeline:
@@ -38,20 +38,20 @@
         return len(self._pending)
 
     def append(self) -> PendingReply:
-        """A request has arrived: the next reply is owed to it."""
+        """Add a pending reply for a request that has arrived."""
         reply = PendingReply()
         self._pending.append(reply)
         return reply
 
     def complete(self, reply: PendingReply, data: bytes) -> None:
-        """A reply is ready. It is written once those before it are."""
+        """Set the data of a reply, and write all replies at the front that are ready."""
         reply.data = data
         while self._pending and self._pending[0].data is not None:
             self._channel.call_after_delay(partial(self._write, self._pending.pop(0)))
 
     def abandon(self, rule_checker: RuleChecker, cancel: Callable[[NodeRequest], None]) -> None:
-        """The connection is closed: cancel what has not been replied to."""
-        for reply in list(self._pending):  # a copy: cancelling can complete a reply that is due just now
+        """Cancel all requests without a reply, because the connection was closed."""
+        for reply in list(self._pending):  # a copy, because a cancel can complete a reply that is due now
             if reply.attempt:
                 rule_checker.on_server_connection_lost(reply.attempt)
             if reply.request:
--- a/lupinladder/emulator/response_corruption.py
+++ b/lupinladder/emulator/response_corruption.py
@@ -8,24 +8,24 @@
 import numpy as np
 
 HUGE_LENGTH = b"*3\r\n$3000000000\r\n"
-UNREADABLE = frozenset({"noise", "endless", "length", "huge"})  # no value can be read from these
+UNREADABLE = frozenset({"noise", "endless", "length", "huge"})  # without a readable value
 
 
 @dataclass(frozen=True, slots=True)
 class CorruptedReply:
-    """A reply as it is sent."""
+    """A reply as it is sent, corrupted or unchanged."""
 
     data: bytes
-    corruption: str = ""  # one of scenario.CORRUPTIONS; empty if the reply is as it was
+    corruption: str = ""  # one of scenario.CORRUPTIONS; empty if the reply is unchanged
 
     @property
     def is_unreadable(self) -> bool:
-        """Whether a proxy cannot read a value from it."""
+        """Whether a proxy cannot read a value from the reply."""
         return self.corruption in UNREADABLE
 
 
 class ResponseCorruption:
-    """Corrupts a share of the replies, each in one way of `corruptions` (names of scenario.CORRUPTIONS)."""
+    """Corrupts a share of the replies, each by a random one of `corruptions` (from scenario.CORRUPTIONS)."""
 
     def __init__(self, rng: np.random.Generator, corruptions: Sequence[str], share: float) -> None:
         self._rng = rng
@@ -33,7 +33,7 @@
         self._share = share
 
     def apply(self, reply: bytes) -> CorruptedReply:
-        """The reply as it is sent, corrupted or not."""
+        """Return the reply to send, corrupted or unchanged."""
         if self._rng.random() >= self._share:
             return CorruptedReply(reply)
         corruption = str(self._rng.choice(self._corruptions))
@@ -50,6 +50,6 @@
         "copy": reply + reply,
         "trailing": reply + noise,
         "report": reply.replace(b"inflight=", b"infl\x00ght=\xff"),
-        "interim": reply,  # the origin sends the interim responses
+        "interim": reply,  # unchanged: only the origin sends interim responses
     }
     return variants[corruption]
--- a/lupinladder/emulator/sockets.py
+++ b/lupinladder/emulator/sockets.py
@@ -1,4 +1,4 @@
-"""What the emulated servers' sockets share: a listener for each proxy, delays between zones, and resets."""
+"""Sockets of the emulated servers: listeners with faults, delays between zones, and connection resets."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 from lupinladder.emulator.clock import Clock
 
-# An address of loopback for each emulator: beside another one, whose nodes come and go, a proxy could else
-# connect to a port that has passed from one emulator to the other.
+# Each emulator process uses its own loopback address. With a shared address, another emulator on the machine
+# could reuse the port of a removed node, and a proxy would connect to a server of the wrong emulator.
 HOST = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 256}.1"
 BACKLOG = 512
 ACCEPTS_AT_ONCE = 64
-FULL_BACKLOG_CONNECTIONS = 4  # which fill a backlog of 0 for certain
-IMMEDIATE_MS = 0.05  # a delay below this is none
+FULL_BACKLOG_CONNECTIONS = 4  # number that reliably fills a backlog of 0
+IMMEDIATE_MS = 0.05  # a call that is due within this time is made immediately
 
 
 def open_listening_socket() -> socket.socket:
-    """A listening socket on a free port of loopback."""
+    """Open a listening socket on a free port of the emulator's loopback address."""
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listening.bind((HOST, 0))
@@ -33,22 +33,22 @@
 
 
 def format_address(bound: socket.socket) -> str:
-    """The address of a socket, as `host:port`."""
+    """Return the local address of a socket as `host:port`."""
     host, port = bound.getsockname()
     return f"{host}:{port}"
 
 
 class NetworkPath:
-    """The path between two zones: a delay in ms each way, with jitter as a share of it."""
+    """The path between two zones, with a one-way delay in ms and jitter as a share of it."""
 
     def __init__(self, rng: np.random.Generator, one_way_ms: float, jitter: float) -> None:
         self._rng = rng
         self._one_way_ms = one_way_ms
         self._jitter = jitter
-        self.added_ms = 0.0  # faults change it
+        self.added_ms = 0.0  # set by faults
 
     def draw_delay(self) -> float:
-        """Draw the delay of one message, in ms."""
+        """Draw the one-way delay of one message in ms."""
         mean = self._one_way_ms + self.added_ms
         if not mean:
             return 0.0
@@ -56,7 +56,7 @@
 
 
 class DelayedChannel:
-    """One direction of one connection: calls are made after the path's delay, and never out of order."""
+    """One direction of one connection: makes calls after the delay of the path, always in order."""
 
     def __init__(self, clock: Clock, path: NetworkPath) -> None:
         self._clock = clock
@@ -64,7 +64,7 @@
         self._last_call_at = 0.0
 
     def call_after_delay(self, callback: Callable[[], object], extra_ms: float = 0.0) -> None:
-        """Call back after the path's delay and `extra_ms`, at once if that is next to nothing."""
+        """Call `callback` after the path's delay plus `extra_ms`, or immediately if that is negligible."""
         when = max(self._clock.now() + self._path.draw_delay() + extra_ms, self._last_call_at)
         self._last_call_at = when
         if when <= self._clock.now() + IMMEDIATE_MS:
@@ -74,7 +74,7 @@
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """Close a connection with a reset, as when a process dies."""
+    """Close a connection with a TCP reset, as when a process is killed."""
     connected = transport.get_extra_info("socket")
     if connected is not None and not transport.is_closing():
         connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -82,22 +82,22 @@
 
 
 class HasTransport(Protocol):
-    """A connection of a server."""
+    """A connection that has a transport once it is established."""
 
     transport: asyncio.Transport | None
 
 
 def reset_all(connections: Iterable[HasTransport]) -> None:
-    """Reset these connections, which may leave the server's collection of them meanwhile."""
+    """Reset these connections. The collection may shrink meanwhile, as connections remove themselves."""
     for connection in list(connections):
         if connection.transport:
             reset_connection(connection.transport)
 
 
 class FaultyListener:
-    """A listener for one proxy, which can refuse connections, leave them unanswered or be handed over.
+    """A listener for one proxy that can refuse connections, not respond to them, or release its socket.
 
-    It accepts by itself: asyncio's servers own their socket and cannot stop accepting without closing it.
+    It calls accept itself because an asyncio server cannot stop accepting without closing its socket.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
         self._accepting: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         self._loop.add_reader(self._socket.fileno(), self._on_readable)
 
     def _on_readable(self) -> None:
@@ -141,7 +141,7 @@
         return self._socket
 
     def close(self) -> None:
-        """Refuse new connections from now on."""
+        """Close the listening socket, so that new connections are refused."""
         for filler in self._backlog_fillers:
             filler.close()
         if self._socket.fileno() >= 0:
@@ -149,7 +149,7 @@
             self._socket.close()
 
     def stop_responding(self) -> None:
-        """Leave new connections unanswered, as a machine that is cut off does: the backlog stays full."""
+        """Stop responding to new connections, like an isolated machine, by keeping the backlog full."""
         self._loop.remove_reader(self._socket.fileno())
         self._socket.listen(0)
         for _ in range(FULL_BACKLOG_CONNECTIONS):
@@ -160,7 +160,7 @@
 
 
 def as_stream_transport(transport: asyncio.BaseTransport) -> asyncio.Transport:
-    """The transport of a new TCP connection, which from now on sends small messages at once."""
+    """Return the transport of a new TCP connection, with Nagle's algorithm disabled."""
     connected = transport.get_extra_info("socket")
     if connected is not None:
         connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/emulator/model_test_case.py
+++ b/tests/emulator/model_test_case.py
@@ -1,4 +1,4 @@
-"""A cluster of server models without sockets, for the tests of each."""
+"""The base class of tests of the server models, which run without sockets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.scenario.fleet.speed = (1.0, 1.0)
         self.keys = KeyDistribution(1, self.scenario.clients)
         self.shared_data = SharedData(self.keys, lambda: 10_000.0)
-        self.replies: list[tuple[str, str, bytes]] = []  # request id, reply_type, bytes
+        self.replies: list[tuple[str, str, bytes]] = []  # request id, reply type, bytes
 
     def node(self, name: str = "s1", starts_empty: bool = False, **more: Any) -> CacheNode:
         for setting, value in more.items():
--- a/tests/emulator/test_cache_memory.py
+++ b/tests/emulator/test_cache_memory.py
@@ -1,4 +1,4 @@
-"""The memory of a cache node."""
+"""Tests of the memory of a cache node: eviction and TTL."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_cache_node.py
+++ b/tests/emulator/test_cache_node.py
@@ -1,4 +1,4 @@
-"""The model of a cache node: hits and misses, its memory, rejection and load reports."""
+"""Tests of the model of a cache node: hits and misses, its memory, rejections and load reports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
         origin = self.origin()
         node.submit(0, self.request("a"))
         now = self.finish_all(node, 0)
-        node.submit(now, self.request("b"))  # the fetch for a is out
+        node.submit(now, self.request("b"))  # the fetch for a is in flight
         now = self.finish_all(node, now)
         origin.submit(now, self.request("a"))
         now = self.finish_all(origin, now)
@@ -51,7 +51,7 @@
 
     def test_a_request_gets_no_work_that_was_done_before_it_came(self) -> None:
         node = self.node()
-        for request_id, at in (("a", 0), ("b", 30)):  # a has 10 ms left, which the two then share
+        for request_id, at in (("a", 0), ("b", 30)):  # a has 10 ms remaining when b arrives
             node.submit(at, self.request(request_id, self.keys.names[0]))
         self.assertAlmostEqual(self.finish_all(node, 30), 80, delta=0.1)
         with self.assertRaises(ValueError):
--- a/tests/emulator/test_deduplication_table.py
+++ b/tests/emulator/test_deduplication_table.py
@@ -1,4 +1,4 @@
-"""The window in which repeated writes are dropped."""
+"""Tests of the deduplication window for repeated writes."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_endpoint_list.py
+++ b/tests/emulator/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's list: when changes come, and what a watch is sent."""
+"""Tests of discovery's endpoint list: when changes are applied, and which are sent to a watch."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_origin.py
+++ b/tests/emulator/test_origin.py
@@ -1,4 +1,4 @@
-"""The model of the origin: joined fetches, repeated writes, and the stop after an overload."""
+"""Tests of the model of the origin: coalesced fetches, repeated writes, and the stop after an overload."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_processor_sharing_queue.py
+++ b/tests/emulator/test_processor_sharing_queue.py
@@ -1,4 +1,4 @@
-"""The processor-sharing queue against closed forms and against a plain simulation in small steps."""
+"""Tests of the processor-sharing queue against closed forms and a simulation in small time steps."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_until_empty(queue: ProcessorSharingQueue, now: float = 0.0) -> list[tuple[float, object]]:
-    """When each job is done."""
+    """Return the completion time and owner of each job."""
     done = []
     while queue.next_completion() < inf:
         now = max(now, queue.next_completion())
@@ -25,7 +25,7 @@
         queue = ProcessorSharingQueue(0, 1, 1.0, 8, 0)
         for work in (10, 20, 30):
             queue.offer(0, Job(work, work))
-        # 3 share until 10 is done at 30, 2 until 20 is done at 50, the last runs alone.
+        # Three jobs share the core until the first completes at 30, two until 50, and the last runs alone.
         completions = [(round(at, 6), work) for at, work in run_until_empty(queue)]
         self.assertEqual(completions, [(30, 10), (50, 20), (60, 30)])
 
@@ -37,7 +37,7 @@
     def test_a_queue_that_warms_up_does_the_integral_of_its_rising_capacity(self) -> None:
         queue = ProcessorSharingQueue(0, 1, 1.0, 1, 0, warm_up=WarmUp(0.2, 1000))
         queue.offer(0, Job(600, "x"))
-        # The integral of 0.2 + 0.8 t over a second is 0.6; the rate is constant over steps of 100 ms.
+        # The integral of 0.2 + 0.8 t over one second is 0.6. The queue keeps the rate constant for 100 ms.
         [(when, _)] = run_until_empty(queue)
         self.assertAlmostEqual(when, 1000, delta=60)
 
--- a/tests/emulator/test_reply_pipeline.py
+++ b/tests/emulator/test_reply_pipeline.py
@@ -1,4 +1,4 @@
-"""The order of the replies on a connection, and what becomes of them when it closes."""
+"""Tests of the order of replies on a connection, and of cancellation when it closes."""
 
 from __future__ import annotations
 
