--- a/lupinladder/emulator/cache_memory.py
+++ b/lupinladder/emulator/cache_memory.py
@@ -30,15 +30,15 @@
 
     def get(self, key: bytes, now: float) -> int | None:
         """Return the cached version of this key; None if there is none or it has expired."""
-        found = self._objects.get(key)
-        if found is None:
+        cached = self._objects.get(key)
+        if cached is None:
             return None
-        if found.expires_at <= now:
+        if cached.expires_at <= now:
             del self._objects[key]
             return None
         if not self._fifo:
             self._objects.move_to_end(key)
-        return found.version
+        return cached.version
 
     def put(self, key: bytes, version: int, expires_at: float) -> None:
         """Store a version and evict objects beyond the maximum."""
--- a/lupinladder/emulator/cache_node.py
+++ b/lupinladder/emulator/cache_node.py
@@ -47,8 +47,8 @@
         self.name = name
         self.zone = zone
         self.config = config
-        self.started = now if starts_empty else 0.0
-        self.up = True
+        self.started_at = now if starts_empty else 0.0
+        self.is_up = True
         self._starts_empty = starts_empty
         self._shared_data = shared_data
         self._rng = rng
@@ -70,13 +70,13 @@
         """Serve a command that has arrived completely, or reject it if the queue is full."""
         self.advance(now)
         job = Job(request.work * (self.config.miss_work if request.is_write else 1.0), request)
-        if not request.is_write and not self._has(now, request.key):
+        if not request.is_write and not self._is_cached(now, request.key):
             job.work *= self.config.miss_work
         request.job = job
         if not self.queue.offer(now, job):
             request.reply(self._encode_error(b"-BUSY", now), ReplyType.BUSY)
 
-    def _has(self, now: float, key: bytes) -> bool:
+    def _is_cached(self, now: float, key: bytes) -> bool:
         if self._shared_data.was_cached_before_run(key, not self._starts_empty):
             remaining_ttl = self._rng.random() * self._shared_data.draw_ttl()
             self.memory.put(key, self._shared_data.version(key), now + remaining_ttl)
@@ -138,11 +138,11 @@
         if not request.is_write:
             self._shared_data.record_miss(request.request_id, self.name)
             self._pending_fetches[request.key] = now + FETCH_PENDING_MS
-            self._forget_old_fetches(now)
+            self._remove_old_fetches(now)
         reply_type = ReplyType.MISS_PENDING if is_pending else ReplyType.MISS
         request.reply(self._encode_reply(now, NULL_BULK_STRING, reply_type), reply_type)
 
-    def _forget_old_fetches(self, now: float) -> None:
+    def _remove_old_fetches(self, now: float) -> None:
         if len(self._pending_fetches) > MAX_PENDING_FETCHES:
             pending = self._pending_fetches.items()
             self._pending_fetches = {key: until for key, until in pending if until > now}
--- a/lupinladder/emulator/cache_node_connection.py
+++ b/lupinladder/emulator/cache_node_connection.py
@@ -47,7 +47,7 @@
         server = self._server
         config = server.core.config
         now = self._clock.now()
-        if not server.core.up or len(server.connections) >= config.connections:
+        if not server.core.is_up or len(server.connections) >= config.connections:
             reset_connection(self.transport)
             return
         server.connections.add(self)
@@ -73,7 +73,7 @@
             self._idle_timer.cancel()
         self._server.connections.discard(self)
         self._replies.abandon(self._server.rule_checker, partial(self._server.core.cancel, self._clock.now()))
-        if self._server.core.up:
+        if self._server.core.is_up:
             self._server.driver.update()
 
     def data_received(self, data: bytes) -> None:
@@ -118,20 +118,20 @@
             self._serve_health_check(now, name)
         else:
             is_setup = name in (b"CLIENT", b"SELECT")
-            answer = b"+OK\r\n" if is_setup else b"-ERR unknown command\r\n"
-            self._replies.complete(self._replies.append(), answer)
+            response = b"+OK\r\n" if is_setup else b"-ERR unknown command\r\n"
+            self._replies.complete(self._replies.append(), response)
 
     def _serve_health_check(self, now: float, name: bytes) -> None:
         core = self._server.core
         reply = self._replies.append()
-        answer = PONG if name == b"PING" else encode_bulk_string(core.load_report(now))
+        response = PONG if name == b"PING" else encode_bulk_string(core.load_report(now))
         if not core.config.probes:
             self._replies.complete(reply, PONG if name == b"PING" else b"-NOPERM no probes\r\n")
             return
 
         def on_reply(data: bytes, _reply_type: ReplyType) -> None:
             """Reply to the health check; `data` is not empty if the node rejected it."""
-            self._replies.complete(reply, data or answer)
+            self._replies.complete(reply, data or response)
 
         reply.request = NodeRequest(
             self._proxy, b"", b"", {}, is_write=False, work=0, reply=on_reply, is_health_check=True
@@ -170,7 +170,7 @@
             self._requests.call_after_delay(partial(self._submit, reply), handshake_remaining)
 
     def _submit(self, reply: PendingReply) -> None:
-        if reply.request and reply in self._replies and self._server.core.up:
+        if reply.request and reply in self._replies and self._server.core.is_up:
             self._server.core.submit(self._clock.now(), reply.request)
             self._server.driver.update()
 
@@ -192,9 +192,9 @@
         reply_type = reply.reply_type
         value = _read_value(data) if reply_type is ReplyType.HIT else b""
         if server.corruption:
-            corrupted = server.corruption.apply(data)
-            data = corrupted.data
-            if corrupted.is_unreadable:
+            sent_reply = server.corruption.apply(data)
+            data = sent_reply.data
+            if sent_reply.is_unreadable:
                 reply_type = ReplyType.CORRUPTED
                 server.rule_checker.counts["spoilt"] += 1
         server.rule_checker.on_server_reply(
--- a/lupinladder/emulator/cache_node_server.py
+++ b/lupinladder/emulator/cache_node_server.py
@@ -65,14 +65,14 @@
         self.crash()
         self.on_overload_crash()
 
-    def crash_and_hand_over(self) -> list[socket.socket]:
+    def crash_and_keep_sockets(self) -> list[socket.socket]:
         """End the process but keep its listening sockets open for another node. Returns them by proxy."""
-        sockets = [listener.hand_over() for listener in self.listeners]
+        sockets = [listener.detach_socket() for listener in self.listeners]
         self._end_process()
         return sockets
 
     def _end_process(self) -> None:
-        self.core.up = False
+        self.core.is_up = False
         self.reset_connections()
         self.driver.stop()
 
--- a/lupinladder/emulator/clock.py
+++ b/lupinladder/emulator/clock.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Any, Protocol
 
-LATENESS_INTERVAL_S = 0.02  # interval of the measurements
+LAG_INTERVAL_S = 0.02  # interval of the measurements
 EARLIER_WAKEUP_MS = 0.01  # the timer is replaced if the next wakeup is earlier by more than this
 LATER_WAKEUP_MS = 50.0  # the timer is replaced if the next wakeup is later by more than this
 
@@ -103,19 +103,19 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        self._due = self._clock.now() + LATENESS_INTERVAL_S * 1000
-        self._timer = self._clock.loop.call_later(LATENESS_INTERVAL_S, self._measure)
+        self._due_at = self._clock.now() + LAG_INTERVAL_S * 1000
+        self._timer = self._clock.loop.call_later(LAG_INTERVAL_S, self._measure)
 
     def _measure(self) -> None:
-        self.lags.append(max(0.0, self._clock.now() - self._due))
+        self.lags.append(max(0.0, self._clock.now() - self._due_at))
         self._schedule()
 
     def stop(self) -> None:
         """Stop measuring."""
         self._timer.cancel()
 
-    def share(self, over: float) -> float:
-        """Return the share of time in which the loop was more than `over` ms late."""
-        late_ms = sum(lag for lag in self.lags if lag > over)
-        total_ms = len(self.lags) * LATENESS_INTERVAL_S * 1000 + sum(self.lags)
+    def share(self, threshold_ms: float) -> float:
+        """Return the share of time in which the loop was more than `threshold_ms` ms late."""
+        late_ms = sum(lag for lag in self.lags if lag > threshold_ms)
+        total_ms = len(self.lags) * LAG_INTERVAL_S * 1000 + sum(self.lags)
         return late_ms / max(total_ms, 1.0)
--- a/lupinladder/emulator/cluster.py
+++ b/lupinladder/emulator/cluster.py
@@ -49,7 +49,7 @@
     """Return the origin's fetches per second: as set, or headroom times the peak behind one pooled cache."""
     if scenario.origin.capacity:
         return scenario.origin.capacity
-    write_share = sum(one.share for one in scenario.classes if one.write)
+    write_share = sum(request_class.share for request_class in scenario.classes if request_class.write)
     peak_rate = max(max(phase.rate, phase.to or 0) for phase in scenario.load)
     fetch_share = (1 - write_share) * (1 - scenario.clients.hits) + write_share
     return scenario.origin.headroom * peak_rate * fetch_share
@@ -74,12 +74,15 @@
         self.endpoints = EndpointList()
         self.wall_step_ms = 0.0  # time by which the machines' wall clock is ahead of the run's clock
         self._since_ms: dict[str, int] = {}  # start of each node by the wall clock at that time
-        self.on_change: Callable[[str], None] = lambda _what: None
+        self.on_change: Callable[[str], None] = lambda _description: None
         self._rule_checker = rule_checker
         self._proxy_zones = proxy_zones
         self._paths: dict[tuple[int, int], NetworkPath] = {}  # by the two zones in ascending order
         self._shared_data = SharedData(keys, self._draw_ttl)
-        self._work_by_class = {one.name.encode(): WorkDistribution.of_class(one) for one in scenario.classes}
+        self._work_by_class = {
+            request_class.name.encode(): WorkDistribution.of_class(request_class)
+            for request_class in scenario.classes
+        }
         self._nodes_placed = 0
         self.origin = self._make_origin()
         self.discovery = DiscoveryServer(
@@ -110,10 +113,10 @@
     def open(self) -> None:
         """Start the initial servers and discovery. The initial servers are in the list from the start."""
         self.origin.open()
-        self.endpoints.put(self._origin_entry(0))
+        self.endpoints.apply_change(self._origin_entry(0))
         for _ in range(self.scenario.fleet.nodes):
             node = self._make_node(self._next_zone(), starts_empty=False)
-            self.endpoints.put(self.entry(node, EndpointStatus.ACTIVE))
+            self.endpoints.apply_change(self.entry(node, EndpointStatus.ACTIVE))
         self.discovery.open()
 
     def _origin_entry(self, since_ms: int) -> ListedEndpoint:
@@ -130,11 +133,11 @@
 
     def _path(self, zone: int, other_zone: int) -> NetworkPath:
         """Return the path between two zones, one shared object, so that a fault affects all its users."""
-        ends = (min(zone, other_zone), max(zone, other_zone))
-        if ends not in self._paths:
+        zone_pair = (min(zone, other_zone), max(zone, other_zone))
+        if zone_pair not in self._paths:
             one_way_ms = self._one_way_ms(zone, other_zone)
-            self._paths[ends] = NetworkPath(self._rng, one_way_ms, self.scenario.net.jitter)
-        return self._paths[ends]
+            self._paths[zone_pair] = NetworkPath(self._rng, one_way_ms, self.scenario.net.jitter)
+        return self._paths[zone_pair]
 
     def _one_way_ms(self, zone: int, other_zone: int) -> float:
         net = self.scenario.net
@@ -146,7 +149,11 @@
 
     def paths_between_zones(self, zone: int) -> list[NetworkPath]:
         """Return the paths between this zone and all other zones."""
-        return [path for ends, path in self._paths.items() if zone in ends and ends[0] != ends[1]]
+        return [
+            path
+            for zone_pair, path in self._paths.items()
+            if zone in zone_pair and zone_pair[0] != zone_pair[1]
+        ]
 
     def draw_work(self, labels: dict[bytes, bytes]) -> float:
         """Draw the work of a command in ms. Raises UnknownClassError if its request class does not exist."""
@@ -186,7 +193,7 @@
         server.open()
         server.on_overload_crash = lambda: self._on_overload_crash(server)
         self._shared_data.nodes[name] = core
-        self._since_ms[name] = int(core.started + self.wall_step_ms) if core.started else 0
+        self._since_ms[name] = int(core.started_at + self.wall_step_ms) if core.started_at else 0
         self.nodes[name] = server
         if starts_empty:
             self._rule_checker.on_server_started(now, name, config.cold_s * 1000, core.queue.capacity)
@@ -213,7 +220,7 @@
         """Schedule a change of the list after `delay_s`; the delay is drawn at random if it is None."""
         if delay_s is None:
             delay_s = float(self._rng.uniform(*self.scenario.discovery.notice_s))
-        self.endpoints.notice_at(self.clock.now() + delay_s * 1000, entry)
+        self.endpoints.schedule_change(self.clock.now() + delay_s * 1000, entry)
         self.discovery.driver.update()
 
     def start_node(
@@ -236,7 +243,7 @@
 
     def end_node_and_keep_sockets(self, node: CacheNodeServer) -> list[socket.socket]:
         """End the node's process and announce its removal. Returns its open listening sockets by proxy."""
-        sockets = node.crash_and_hand_over()
+        sockets = node.crash_and_keep_sockets()
         self._remove(node, "ended")
         return sockets
 
@@ -249,13 +256,13 @@
     def _on_overload_crash(self, node: CacheNodeServer) -> None:
         self._remove(node, "fell over")
 
-    def _remove(self, node: CacheNodeServer, what: str) -> None:
+    def _remove(self, node: CacheNodeServer, description: str) -> None:
         name = node.core.name
         if self.nodes.get(name) is node:
             del self.nodes[name]
         self._shared_data.nodes.pop(name, None)
         self.announce(self.entry(node, EndpointStatus.REMOVED))
-        self.on_change(f"{name} {what}")
+        self.on_change(f"{name} {description}")
 
     def close(self) -> None:
         """End all servers."""
--- a/lupinladder/emulator/discovery_connection.py
+++ b/lupinladder/emulator/discovery_connection.py
@@ -17,7 +17,7 @@
     from lupinladder.emulator.discovery_server import DiscoveryServer
 
 LIST_PATH = "/v1/endpoints"
-WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class DiscoveryConnection(HttpServerConnection):
@@ -48,7 +48,7 @@
         """Answer a complete request after its waiting time, or with 503 if it would wait too long."""
         url = urlsplit(self._take_url().decode("latin-1"))
         self._server.rule_checker.count_rate("calls for the list", self._server.clock.now())
-        wait_s = self._server.reserve_turn()
+        wait_s = self._server.enqueue_request()
         if wait_s is None:
             self._respond(HTTPStatus.SERVICE_UNAVAILABLE, b"")
             return
@@ -58,17 +58,17 @@
         parameters = parse_qs(url.query)
         if parameters.get("stream") == ["1"]:
             index = parameters.get("index", ["0"])[0]
-            answer = partial(self._start_watch, int(index) if index.isdigit() else 0)
+            respond = partial(self._start_watch, int(index) if index.isdigit() else 0)
         else:
-            answer = partial(self._send_list)
-        self._server.clock.loop.call_later(wait_s, answer)
+            respond = partial(self._send_list)
+        self._server.clock.loop.call_later(wait_s, respond)
 
     def _respond(self, status: HTTPStatus, body: bytes) -> None:
         if self.transport and not self.transport.is_closing():
             self.transport.write(encode_response(status, body))
 
     def _send_list(self) -> None:
-        endpoints = self._server.core
+        endpoints = self._server.endpoint_list
         changes = EndpointChanges(True, list(endpoints.entries.values()))
         text = endpoints.text(*changes, self._server.addresses(self._proxy))
         self._respond(HTTPStatus.OK, text + b"\n")
@@ -87,7 +87,7 @@
     def _start_watch(self, index: int) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(WATCH_HEAD)
+        self.transport.write(WATCH_RESPONSE_HEAD)
         self._send_changes(index)
 
     def on_list_changed(self) -> None:
@@ -96,8 +96,8 @@
             self._send_changes(self._watch_index)
 
     def _send_changes(self, index: int) -> None:
-        endpoints = self._server.core
-        changes = endpoints.since(index)
+        endpoints = self._server.endpoint_list
+        changes = endpoints.changes_since(index)
         self._watch_index = endpoints.index
         self._send_line(endpoints.text(*changes, self._server.addresses(self._proxy)))
         self._record_written(changes)
--- a/lupinladder/emulator/discovery_server.py
+++ b/lupinladder/emulator/discovery_server.py
@@ -12,7 +12,7 @@
 from lupinladder.emulator.scenario import DiscoveryConfig
 from lupinladder.emulator.sockets import FaultyListener, reset_all
 
-COUNTS_AS_KNOWN_AFTER_MS = 6000.0  # a proxy has to know a change after this time, whether or not it was sent
+ASSUMED_KNOWN_AFTER_MS = 6000.0  # a proxy has to know a change after this time, whether or not it was sent
 
 
 class DiscoveryServer:
@@ -21,7 +21,7 @@
     def __init__(
         self,
         clock: Clock,
-        core: EndpointList,
+        endpoint_list: EndpointList,
         rule_checker: RuleChecker,
         proxy_count: int,
         addresses: Callable[[int], dict[str, str]],
@@ -29,18 +29,18 @@
     ) -> None:
         """`addresses` returns the servers' addresses by name, as the given proxy reaches them."""
         self.clock = clock
-        self.core = core
+        self.endpoint_list = endpoint_list
         self.rule_checker = rule_checker
         self.addresses = addresses
         self.keepalive_interval_s = config.empty_s
-        self.driver = ModelDriver(clock, core, self._on_advanced)
+        self.driver = ModelDriver(clock, endpoint_list, self._on_advanced)
         self.connections: set[DiscoveryConnection] = set()
         self.is_down = False  # while it is set, new connections are reset
         self._proxy_count = proxy_count
         self._seconds_per_request = 1 / config.capacity
         self._max_wait_s = config.timeout_s
         self._busy_until_s = 0.0
-        self._index_sent = 0
+        self._sent_index = 0
         self.listeners = self._new_listeners()
 
     def _new_listeners(self) -> list[FaultyListener]:
@@ -51,11 +51,11 @@
 
     def open(self) -> None:
         """Start accepting connections."""
-        self._index_sent = self.core.index
+        self._sent_index = self.endpoint_list.index
         for listener in self.listeners:
             listener.open()
 
-    def reserve_turn(self) -> float | None:
+    def enqueue_request(self) -> float | None:
         """Queue a request that arrives now. Returns its waiting time in seconds; None if that is too long."""
         now_s = self.clock.now() / 1000
         self._busy_until_s = max(self._busy_until_s, now_s) + self._seconds_per_request
@@ -65,24 +65,24 @@
         return self._busy_until_s - now_s
 
     def _on_advanced(self) -> None:
-        if self.core.index == self._index_sent:
+        if self.endpoint_list.index == self._sent_index:
             return
-        changes = self.core.since(self._index_sent)
-        self._index_sent = self.core.index
+        changes = self.endpoint_list.changes_since(self._sent_index)
+        self._sent_index = self.endpoint_list.index
         for entry in changes.entries:
             if entry.status != EndpointStatus.ACTIVE:
-                self._count_as_known_later(entry)
+                self._assume_known_later(entry)
         for connection in list(self.connections):
             connection.on_list_changed()
 
-    def _count_as_known_later(self, entry: ListedEndpoint) -> None:
+    def _assume_known_later(self, entry: ListedEndpoint) -> None:
         """Schedule when all proxies have to know that a server drains or was removed."""
-        when = self.clock.now() + COUNTS_AS_KNOWN_AFTER_MS
-        self.clock.at(when, partial(self._count_as_known, entry))
+        when = self.clock.now() + ASSUMED_KNOWN_AFTER_MS
+        self.clock.at(when, partial(self._assume_known, entry))
 
-    def _count_as_known(self, entry: ListedEndpoint) -> None:
-        known = self.core.entries.get(entry.name)
-        if known is not None and known.status == EndpointStatus.ACTIVE:
+    def _assume_known(self, entry: ListedEndpoint) -> None:
+        current_entry = self.endpoint_list.entries.get(entry.name)
+        if current_entry is not None and current_entry.status == EndpointStatus.ACTIVE:
             return
         for proxy in range(self._proxy_count):
             self.rule_checker.on_status_sent(self.clock.now(), proxy, entry.name, entry.status)
--- a/lupinladder/emulator/endpoint_list.py
+++ b/lupinladder/emulator/endpoint_list.py
@@ -46,7 +46,7 @@
     entries: list[ListedEndpoint]
 
 
-class _NoticedChange(NamedTuple):
+class _ScheduledChange(NamedTuple):
     at: float  # time in ms
     sequence_number: int  # orders changes with the same time
     entry: ListedEndpoint
@@ -60,10 +60,10 @@
         self.entries: dict[str, ListedEndpoint] = {}
         self.added_delay_ms = 0.0  # added to the time until a change is detected; set by faults
         self._changes: list[tuple[int, ListedEndpoint]] = []  # each with the list version that it led to
-        self._to_be_noticed: list[_NoticedChange] = []  # a heap
+        self._scheduled_changes: list[_ScheduledChange] = []  # a heap
         self._sequence_number = 0
 
-    def put(self, entry: ListedEndpoint) -> None:
+    def apply_change(self, entry: ListedEndpoint) -> None:
         """Apply a change to the list immediately."""
         self.index += 1
         if entry.status == EndpointStatus.REMOVED:
@@ -73,19 +73,19 @@
         self._changes.append((self.index, entry))
         del self._changes[:-MAX_CHANGES_KEPT]
 
-    def notice_at(self, when: float, entry: ListedEndpoint) -> None:
+    def schedule_change(self, when: float, entry: ListedEndpoint) -> None:
         """Schedule a change for the time in ms at which discovery detects it."""
         self._sequence_number += 1
-        change = _NoticedChange(when + self.added_delay_ms, self._sequence_number, entry)
-        heapq.heappush(self._to_be_noticed, change)
+        change = _ScheduledChange(when + self.added_delay_ms, self._sequence_number, entry)
+        heapq.heappush(self._scheduled_changes, change)
 
     def advance(self, now: float) -> bool:
         """Apply the changes detected by now. Returns whether the list has changed."""
         has_changed = False
-        while self._to_be_noticed and self._to_be_noticed[0].at <= now:
-            entry = heapq.heappop(self._to_be_noticed).entry
+        while self._scheduled_changes and self._scheduled_changes[0].at <= now:
+            entry = heapq.heappop(self._scheduled_changes).entry
             if not self._is_outdated(entry):
-                self.put(entry)
+                self.apply_change(entry)
                 has_changed = True
         return has_changed
 
@@ -93,27 +93,29 @@
         """Return whether a drain or removal is outdated: the server was removed or has restarted since."""
         if entry.status == EndpointStatus.ACTIVE:
             return False
-        known = self.entries.get(entry.name)
-        return known is None or known.since_ms != entry.since_ms
+        current_entry = self.entries.get(entry.name)
+        return current_entry is None or current_entry.since_ms != entry.since_ms
 
     def next_wakeup(self) -> float:
         """Return the time in ms at which the next change is detected; infinity if there is none."""
-        return self._to_be_noticed[0].at if self._to_be_noticed else inf
+        return self._scheduled_changes[0].at if self._scheduled_changes else inf
 
-    def since(self, index: int) -> EndpointChanges:
+    def changes_since(self, index: int) -> EndpointChanges:
         """Return the changes after this version of the list; the whole list if they are not all kept."""
-        oldest_known = self.index - len(self._changes)
-        if index <= 0 or index > self.index or index < oldest_known:
+        oldest_kept = self.index - len(self._changes)
+        if index <= 0 or index > self.index or index < oldest_kept:
             return EndpointChanges(True, list(self.entries.values()))
         latest = {entry.name: entry for version, entry in self._changes if version > index}
         return EndpointChanges(False, list(latest.values()))
 
     def text(self, is_snapshot: bool, entries: list[ListedEndpoint], addresses: dict[str, str]) -> bytes:
         """Encode entries as the JSON object that discovery writes, with the addresses for one proxy."""
-        written = [replace(entry, address=addresses.get(entry.name, UNKNOWN_ADDRESS)) for entry in entries]
-        tree = {
+        addressed_entries = [
+            replace(entry, address=addresses.get(entry.name, UNKNOWN_ADDRESS)) for entry in entries
+        ]
+        message = {
             "index": self.index,
             "snapshot": is_snapshot,
-            "endpoints": [asdict(entry) for entry in written],
+            "endpoints": [asdict(entry) for entry in addressed_entries],
         }
-        return json.dumps(tree, separators=(",", ":")).encode()
+        return json.dumps(message, separators=(",", ":")).encode()
--- a/lupinladder/emulator/environment_faults.py
+++ b/lupinladder/emulator/environment_faults.py
@@ -7,7 +7,7 @@
 from lupinladder.emulator.fault_context import FaultContext, FaultHandler
 from lupinladder.emulator.scenario import FaultConfig
 
-OLD_DISCOVERY_LINGERS_S = 1.5  # time for which connections to the old address stay open after a move
+OLD_DISCOVERY_LINGER_S = 1.5  # time for which connections to the old address stay open after a move
 
 
 class EnvironmentFaults:
@@ -20,7 +20,7 @@
     def handlers(self) -> dict[str, FaultHandler]:
         """Return the handlers by kind of fault."""
         return {
-            "hot-key": self._mark_hot_key,
+            "hot-key": self._await_hot_key_end,
             "late-list": self._delay_list,
             "list-down": self._stop_discovery,
             "list-move": self._move_discovery,
@@ -30,7 +30,7 @@
             "clock-step": self._step_wall_clock,
         }
 
-    async def _mark_hot_key(self, fault: FaultConfig) -> None:
+    async def _await_hot_key_end(self, fault: FaultConfig) -> None:
         """Wait until the hot key ends. The arrivals, which are drawn in advance, already contain it."""
         await asyncio.sleep(fault.for_s)
         self._context.mark("hot key over")
@@ -53,7 +53,7 @@
 
     async def _move_discovery(self, _fault: FaultConfig) -> None:
         """Move discovery to a new address, write it to the proxies' configuration and send them SIGHUP."""
-        self._cluster.discovery.move(OLD_DISCOVERY_LINGERS_S)
+        self._cluster.discovery.move(OLD_DISCOVERY_LINGER_S)
         for proxy in self._context.proxies.all:
             self._context.proxies.hup(proxy)
 
@@ -81,8 +81,8 @@
         zone = self._cluster.scenario.fleet.zones.index(fault.zone)
         paths = self._cluster.paths_between_zones(zone)
         for path in paths:
-            path.added_ms += fault.size * 1000
+            path.added_delay_ms += fault.size * 1000
         await asyncio.sleep(fault.for_s)
         for path in paths:
-            path.added_ms -= fault.size * 1000
+            path.added_delay_ms -= fault.size * 1000
         self._context.mark("ways as before")
--- a/lupinladder/emulator/faults.py
+++ b/lupinladder/emulator/faults.py
@@ -37,21 +37,21 @@
         }
         cluster.on_change = self._mark
 
-    def _mark(self, what: str) -> None:
-        self.marks.append(((self._clock.now() - self._start) / 1000, what))
+    def _mark(self, description: str) -> None:
+        self.marks.append(((self._clock.now() - self._start) / 1000, description))
 
     def plan(self, faults: list[FaultConfig]) -> None:
         """Schedule these faults at their times."""
         for fault in faults:
-            self._clock.at(self._start + fault.at * 1000, partial(self._begin, fault))
+            self._clock.at(self._start + fault.at * 1000, partial(self._start_fault, fault))
 
-    def _begin(self, fault: FaultConfig) -> None:
+    def _start_fault(self, fault: FaultConfig) -> None:
         self._mark(f"[{fault.kind}]")
         task = self._clock.loop.create_task(self._handlers[fault.kind](fault))
         self._tasks.add(task)
-        task.add_done_callback(partial(self._on_played, fault))
+        task.add_done_callback(partial(self._on_fault_finished, fault))
 
-    def _on_played(self, fault: FaultConfig, task: asyncio.Task[None]) -> None:
+    def _on_fault_finished(self, fault: FaultConfig, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error:  # the run continues but is void
--- a/lupinladder/emulator/load_report.py
+++ b/lupinladder/emulator/load_report.py
@@ -10,7 +10,7 @@
 REPORT_WINDOW_MS = 1000.0
 
 
-class _ReportedReply(NamedTuple):
+class _RecordedReply(NamedTuple):
     at: float  # time in ms
     work: float  # in ms
     failed: bool
@@ -22,13 +22,13 @@
     def __init__(self, queue: ProcessorSharingQueue, interval_ms: float) -> None:
         self._queue = queue
         self._interval_ms = interval_ms
-        self._replies: list[_ReportedReply] = []  # of the last REPORT_WINDOW_MS
+        self._replies: list[_RecordedReply] = []  # of the last REPORT_WINDOW_MS
         self._report = b""
         self._reported_at = -inf
 
     def record(self, now: float, work: float, failed: bool) -> None:
         """Record a request that was served or has failed, with its work in ms."""
-        self._replies.append(_ReportedReply(now, work, failed))
+        self._replies.append(_RecordedReply(now, work, failed))
 
     def report(self, now: float) -> bytes:
         """Return the report for a reply written now."""
--- a/lupinladder/emulator/node_faults.py
+++ b/lupinladder/emulator/node_faults.py
@@ -12,9 +12,9 @@
 from lupinladder.emulator.scenario import CORRUPTIONS, FaultConfig
 
 PAUSED_SLOWDOWN = 1e6  # slowdown factor of a node that is paused
-PAUSE_INTERVAL = (2, 8)  # range of the time between pauses, as a multiple of the pause
+PAUSE_INTERVAL_FACTORS = (2, 8)  # range of the time between pauses, as a multiple of the pause
 NEIGHBOUR_INTERVAL_S = (0.5, 1.5)  # range of the time between the starts and stops of a neighbour
-MIN_NEIGHBOUR_LEAVES = 0.05  # minimum share of a machine's capacity that a neighbour leaves to the node
+MIN_REMAINING_CAPACITY = 0.05  # minimum share of a machine's capacity that a neighbour leaves to the node
 
 
 class NodeFaults:
@@ -31,11 +31,11 @@
             "deploy": self._deploy,
             "shrink": self._shrink,
             "grow": self._grow,
-            "silent": self._cut_off,
+            "silent": self._isolate,
             "reset": self._reset_connections,
             "garble": self._corrupt_replies,
             "pauses": self._pause_nodes,
-            "neighbour": self._take_capacity,
+            "neighbour": self._run_noisy_neighbours,
         }
 
     async def _deploy(self, fault: FaultConfig) -> None:
@@ -62,7 +62,7 @@
                 self._cluster.start_node(node.core.zone)
         await asyncio.sleep(fault.drain_s)
         for node in batch:
-            if not node.core.up:
+            if not node.core.is_up:
                 continue
             if fault.reuse:
                 sockets = self._cluster.end_node_and_keep_sockets(node)
@@ -72,8 +72,8 @@
 
     async def _shrink(self, fault: FaultConfig) -> None:
         """Remove a part of the nodes permanently, one after another over the time of the fault."""
-        all_but_one = 1 - 1 / len(self._cluster.nodes)
-        nodes = self._context.pick_nodes(min(fault.part, all_but_one))
+        max_share = 1 - 1 / len(self._cluster.nodes)
+        nodes = self._context.pick_nodes(min(fault.part, max_share))
         for node in nodes:
             self._cluster.drain(node)
             self._clock.at(self._clock.now() + fault.drain_s * 1000, partial(self._end_if_up, node))
@@ -81,7 +81,7 @@
         await asyncio.sleep(fault.drain_s)
 
     def _end_if_up(self, node: CacheNodeServer) -> None:
-        if node.core.up:
+        if node.core.is_up:
             self._cluster.end_node(node)
 
     async def _grow(self, fault: FaultConfig) -> None:
@@ -90,15 +90,15 @@
         for n in range(max(1, round(fault.part * config.nodes))):
             self._cluster.start_node(n % len(config.zones))
 
-    async def _cut_off(self, fault: FaultConfig) -> None:
+    async def _isolate(self, fault: FaultConfig) -> None:
         """Isolate some machines from the network, then restart them under their old ids with cold caches."""
         notice_s = self._cluster.scenario.discovery.silent_notice_s
         for node in self._context.pick_nodes(fault.part):
             node.stop_responding()
             self._cluster.announce(self._cluster.entry(node, EndpointStatus.REMOVED), notice_s)
             self._context.mark(f"{node.core.name} silent")
-            comes_back_at = self._clock.now() + fault.for_s * 1000
-            self._clock.at(comes_back_at, partial(self._cluster.replace_unresponsive, node))
+            restarts_at = self._clock.now() + fault.for_s * 1000
+            self._clock.at(restarts_at, partial(self._cluster.replace_unresponsive, node))
         await asyncio.sleep(fault.for_s)
 
     async def _reset_connections(self, fault: FaultConfig) -> None:
@@ -127,26 +127,26 @@
 
     async def _pause_nodes(self, fault: FaultConfig) -> None:
         """Pause some nodes repeatedly for `size` seconds, each at its own random times."""
-        end = self._clock.now() + fault.for_s * 1000
+        ends_at = self._clock.now() + fault.for_s * 1000
         nodes = self._context.pick_nodes(fault.part)
-        await asyncio.gather(*(self._pause_now_and_then(node, fault.size, end) for node in nodes))
+        await asyncio.gather(*(self._pause_repeatedly(node, fault.size, ends_at) for node in nodes))
         self._context.mark("no more pauses")
 
-    async def _pause_now_and_then(self, node: CacheNodeServer, pause_s: float, end: float) -> None:
+    async def _pause_repeatedly(self, node: CacheNodeServer, pause_s: float, ends_at: float) -> None:
         while True:
-            await asyncio.sleep(float(self._context.rng.uniform(*PAUSE_INTERVAL)) * pause_s)
-            if self._clock.now() + pause_s * 1000 > end or not node.core.up:
+            await asyncio.sleep(float(self._context.rng.uniform(*PAUSE_INTERVAL_FACTORS)) * pause_s)
+            if self._clock.now() + pause_s * 1000 > ends_at or not node.core.is_up:
                 return
             self._slow_down(node, PAUSED_SLOWDOWN)
             await asyncio.sleep(pause_s)
             self._slow_down(node, 1 / PAUSED_SLOWDOWN)
 
-    async def _take_capacity(self, fault: FaultConfig) -> None:
+    async def _run_noisy_neighbours(self, fault: FaultConfig) -> None:
         """Let another program take the share `size` of some machines' capacity, with interruptions."""
         nodes = self._context.pick_nodes(fault.part)
-        end = self._clock.now() + fault.for_s * 1000
-        remaining_capacity = max(1 - fault.size, MIN_NEIGHBOUR_LEAVES)
-        while self._clock.now() < end:
+        ends_at = self._clock.now() + fault.for_s * 1000
+        remaining_capacity = max(1 - fault.size, MIN_REMAINING_CAPACITY)
+        while self._clock.now() < ends_at:
             for factor in (1 / remaining_capacity, remaining_capacity):
                 for node in nodes:
                     self._slow_down(node, factor)
--- a/lupinladder/emulator/origin.py
+++ b/lupinladder/emulator/origin.py
@@ -20,7 +20,7 @@
 MIN_CORES = 0.05
 SLOTS_PER_CORE = 8
 MIN_SLOTS = 4
-MIN_ROOM = 8
+MIN_WAITING_LIMIT = 8
 
 
 class _Arrival(NamedTuple):
@@ -45,8 +45,8 @@
         """`capacity` is in fetches per second."""
         cores = max(capacity * config.work_ms / 1000, MIN_CORES)
         slots = max(MIN_SLOTS, round(cores * SLOTS_PER_CORE))
-        room = max(MIN_ROOM, int(capacity * config.room_s))
-        self.queue = ProcessorSharingQueue(now, cores, 1.0, slots, room)
+        waiting_limit = max(MIN_WAITING_LIMIT, int(capacity * config.room_s))
+        self.queue = ProcessorSharingQueue(now, cores, 1.0, slots, waiting_limit)
         self.down_until = 0.0  # time in ms
         self.stops = 0  # number of stops because of overload
         self.served = 0
@@ -101,12 +101,12 @@
         waiting = self._fetches.get(request.key, [])
         if request in waiting and len(waiting) > 1:
             if waiting[0] is request:
-                self._hand_over_job(request, waiting[1])
+                self._transfer_job(request, waiting[1])
             waiting.remove(request)
         elif request.job and not request.is_write and self.queue.cancel(request.job, running_too=False):
             self._fetches.pop(request.key, None)
 
-    def _hand_over_job(self, request: NodeRequest, successor: NodeRequest) -> None:
+    def _transfer_job(self, request: NodeRequest, successor: NodeRequest) -> None:
         job = request.job
         assert job
         job.owner = successor
--- a/lupinladder/emulator/origin_connection.py
+++ b/lupinladder/emulator/origin_connection.py
@@ -119,9 +119,13 @@
         headers: Mapping[bytes, bytes] = NO_HEADERS,
     ) -> None:
         core = self._server.core
-        load = b"eps=0,latency_ms=%.1f,qps=%d,inflight=%d" % (core.queue.held, core.served, core.queue.held)
+        load_report = b"eps=0,latency_ms=%.1f,qps=%d,inflight=%d" % (
+            core.queue.held,
+            core.served,
+            core.queue.held,
+        )
         reply.value = body
-        self._replies.complete(reply, encode_response(status, body, {b"X-Pressure": load, **headers}))
+        self._replies.complete(reply, encode_response(status, body, {b"X-Pressure": load_report, **headers}))
 
     def _write(self, reply: PendingReply) -> None:
         if self.transport is None or self.transport.is_closing():
--- a/lupinladder/emulator/origin_server.py
+++ b/lupinladder/emulator/origin_server.py
@@ -35,7 +35,7 @@
         self.sends_interim_responses = False  # set by faults
         self._missed_at_warming_node = missed_at_warming_node
         self._overload_window_ms = overload_window_ms
-        self._stops_seen = 0
+        self._stops_handled = 0
         self.listeners = [
             FaultyListener(clock, partial(OriginConnection, self, proxy)) for proxy in range(len(paths))
         ]
@@ -51,8 +51,8 @@
         self.core.submit(now, request)
         is_from_warming_node = not request.is_write and self._missed_at_warming_node(request.request_id)
         self.rule_checker.on_origin_load(now, request.work, is_from_warming_node, self._overload_window_ms)
-        if self.core.stops > self._stops_seen:
-            self._stops_seen = self.core.stops
+        if self.core.stops > self._stops_handled:
+            self._stops_handled = self.core.stops
             self.rule_checker.origin_stopped(now)
             reset_all(self.connections)
         self.driver.update()
--- a/lupinladder/emulator/peers.py
+++ b/lupinladder/emulator/peers.py
@@ -93,11 +93,11 @@
 class _Relay(asyncio.DatagramProtocol):
     """A socket that forwards the datagrams of one proxy to `receivers`."""
 
-    def __init__(self, peers: Peers, sender: int, receivers: list[int]) -> None:
-        self._peers = peers
+    def __init__(self, peer_relays: Peers, sender: int, receivers: list[int]) -> None:
+        self._peer_relays = peer_relays
         self._sender = sender
         self._receivers = receivers
 
     def datagram_received(self, data: bytes, _addr: object) -> None:
         """Forward the datagram."""
-        self._peers.relay(self._sender, self._receivers, data)
+        self._peer_relays.relay(self._sender, self._receivers, data)
--- a/lupinladder/emulator/ports.py
+++ b/lupinladder/emulator/ports.py
@@ -27,7 +27,7 @@
     A proxy that restarts must find its port still free. Raises NoFreePortError if no port is found.
     """
     for _ in range(MAX_TRIES):
-        with socket.socket() as trial, suppress(OSError):
-            trial.bind((HOST, secrets.randbelow(LAST_PORT + 1 - FIRST_PORT) + FIRST_PORT))
-            return int(trial.getsockname()[1])
+        with socket.socket() as candidate, suppress(OSError):
+            candidate.bind((HOST, secrets.randbelow(LAST_PORT + 1 - FIRST_PORT) + FIRST_PORT))
+            return int(candidate.getsockname()[1])
     raise NoFreePortError
--- a/lupinladder/emulator/processor_sharing_queue.py
+++ b/lupinladder/emulator/processor_sharing_queue.py
@@ -65,7 +65,7 @@
 
 
 class ProcessorSharingQueue:
-    """Runs up to `slots` jobs at once on `cores` cores of speed `speed`; up to `room` more jobs wait."""
+    """Runs up to `slots` jobs at once on `cores` cores of speed `speed`; up to `waiting_limit` more wait."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         cores: float,
         speed: float,
         slots: int,
-        room: int,
+        waiting_limit: int,
         *,
         thrashing: Thrashing | None = None,
         warm_up: WarmUp | None = None,
@@ -81,9 +81,9 @@
         self.cores = cores
         self.speed = speed
         self.slots = slots
-        self.room = room
+        self.waiting_limit = waiting_limit
         self.slowdown = 1.0  # divides the speed; set by faults
-        self.started = now
+        self.started_at = now
         self.work_done = 0.0  # in ms
         self._thrashing = thrashing or Thrashing()
         self._warm_up = warm_up or WarmUp()
@@ -104,7 +104,7 @@
         warm_up = self._warm_up
         if warm_up.duration_ms <= 0:
             return 1.0
-        progress = max((now - self.started) / warm_up.duration_ms, self.work_done / warm_up.work_ms)
+        progress = max((now - self.started_at) / warm_up.duration_ms, self.work_done / warm_up.work_ms)
         return min(1.0, warm_up.initial_capacity + (1 - warm_up.initial_capacity) * max(progress, 0.0))
 
     def capacity(self, now: float) -> float:
@@ -130,7 +130,7 @@
             raise QueueNotAdvancedError(self._now, now)
         if self._running_count < self.slots:
             self._run(job)
-        elif self._waiting_count < self.room:
+        elif self._waiting_count < self.waiting_limit:
             self._waiting.append(job)
             self._waiting_count += 1
         else:
@@ -149,21 +149,21 @@
         while self._running_count:
             self._discard_cancelled()
             rate = self._rate(self._now)
-            longest_step = WARMUP_STEP_MS if self.warmth(self._now) < 1 else inf
-            step = min(max(now - self._now, 0.0), longest_step)
+            max_step = WARMUP_STEP_MS if self.warmth(self._now) < 1 else inf
+            step = min(max(now - self._now, 0.0), max_step)
             until_completion = (self._running[0].finish_at - self._virtual_time) / rate
             # Without the tolerance, a rounding error could keep a job from ever completing.
             if until_completion <= step + ROUNDING_TOLERANCE_MS:
-                self._pass_time(max(until_completion, 0.0), rate)
+                self._advance_time(max(until_completion, 0.0), rate)
                 completed.append(self._complete_next())
             elif step > 0:
-                self._pass_time(step, rate)
+                self._advance_time(step, rate)
             else:
                 return completed
         self._now = max(self._now, now)
         return completed
 
-    def _pass_time(self, step: float, rate: float) -> None:
+    def _advance_time(self, step: float, rate: float) -> None:
         self._now += step
         self._virtual_time += step * rate
         self.work_done += step * rate * self._running_count
--- a/lupinladder/emulator/response_corruption.py
+++ b/lupinladder/emulator/response_corruption.py
@@ -8,11 +8,11 @@
 import numpy as np
 
 HUGE_LENGTH = b"*3\r\n$3000000000\r\n"
-UNREADABLE = frozenset({"noise", "endless", "length", "huge"})  # without a readable value
+UNREADABLE_CORRUPTIONS = frozenset({"noise", "endless", "length", "huge"})  # without a readable value
 
 
 @dataclass(frozen=True, slots=True)
-class CorruptedReply:
+class SentReply:
     """A reply as it is sent, corrupted or unchanged."""
 
     data: bytes
@@ -21,7 +21,7 @@
     @property
     def is_unreadable(self) -> bool:
         """Whether a proxy cannot read a value from the reply."""
-        return self.corruption in UNREADABLE
+        return self.corruption in UNREADABLE_CORRUPTIONS
 
 
 class ResponseCorruption:
@@ -32,13 +32,13 @@
         self._corruptions = list(corruptions)
         self._share = share
 
-    def apply(self, reply: bytes) -> CorruptedReply:
+    def apply(self, reply: bytes) -> SentReply:
         """Return the reply to send, corrupted or unchanged."""
         if self._rng.random() >= self._share:
-            return CorruptedReply(reply)
+            return SentReply(reply)
         corruption = str(self._rng.choice(self._corruptions))
         noise = self._rng.bytes(64).replace(b"\n", b"x")
-        return CorruptedReply(_corrupt(reply, corruption, noise), corruption)
+        return SentReply(_corrupt(reply, corruption, noise), corruption)
 
 
 def _corrupt(reply: bytes, corruption: str, noise: bytes) -> bytes:
--- a/lupinladder/emulator/shared_data.py
+++ b/lupinladder/emulator/shared_data.py
@@ -20,7 +20,7 @@
 class CachingNode(Protocol):
     """The part of a cache node that the shared data uses."""
 
-    up: bool
+    is_up: bool
     memory: CacheMemory
 
     def store(self, key: bytes, version: int, expires_at: float) -> None:
@@ -37,7 +37,7 @@
         self.nodes: dict[str, CachingNode] = {}
         self._versions: dict[bytes, int] = {}
         self._nodes_that_missed: OrderedDict[bytes, list[str]] = OrderedDict()  # by request id
-        self._looked_up: set[bytes] = set()
+        self._looked_up_keys: set[bytes] = set()
 
     def version(self, key: bytes) -> int:
         """Return the version of a key: the number of writes to it."""
@@ -45,19 +45,19 @@
 
     def value(self, key: bytes, request_id: bytes, server: str) -> bytes:
         """Return a server's value for a request. The request id in it exposes misassigned replies."""
-        head = b"%b|%b|%b|%d|" % (key, request_id, server.encode(), self.version(key))
-        return head + b"." * max(0, self.keys.size(key) - len(head))
+        prefix = b"%b|%b|%b|%d|" % (key, request_id, server.encode(), self.version(key))
+        return prefix + b"." * max(0, self.keys.size(key) - len(prefix))
 
-    def was_cached_before_run(self, key: bytes, node_is_warm: bool) -> bool:
+    def was_cached_before_run(self, key: bytes, node_started_before_run: bool) -> bool:
         """Return whether the node that looks this key up has it cached from before the run.
 
         This holds only for the first lookup of a key in the run, at a node that started before the run, and
         for a key that one pooled cache with the memory of the whole cluster would keep.
         """
-        if key in self._looked_up:
+        if key in self._looked_up_keys:
             return False
-        self._looked_up.add(key)
-        return node_is_warm and self.keys.kept(key)
+        self._looked_up_keys.add(key)
+        return node_started_before_run and self.keys.kept(key)
 
     def record_miss(self, request_id: bytes, node: str) -> None:
         """Record that this node missed for this request."""
@@ -73,7 +73,7 @@
         """Store the value that the origin answered to a read at the first nodes that missed for it."""
         for name in self.nodes_that_missed(request_id)[:MAX_COPIES_STORED]:
             node = self.nodes.get(name)
-            if node and node.up:
+            if node and node.is_up:
                 node.store(key, self.version(key), now + self.draw_ttl())
 
     def invalidate(self, key: bytes) -> None:
--- a/lupinladder/emulator/sockets.py
+++ b/lupinladder/emulator/sockets.py
@@ -17,24 +17,24 @@
 # could reuse the port of a removed node, and a proxy would connect to a server of the wrong emulator.
 HOST = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 256}.1"
 BACKLOG = 512
-ACCEPTS_AT_ONCE = 64
+MAX_ACCEPTS_PER_EVENT = 64
 FULL_BACKLOG_CONNECTIONS = 4  # number that reliably fills a backlog of 0
-IMMEDIATE_MS = 0.05  # a call that is due within this time is made immediately
+NEGLIGIBLE_DELAY_MS = 0.05  # a call that is due within this time is made immediately
 
 
 def open_listening_socket() -> socket.socket:
     """Open a listening socket on a free port of the emulator's loopback address."""
-    listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.bind((HOST, 0))
-    listening.listen(BACKLOG)
-    listening.setblocking(False)
-    return listening
+    listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind((HOST, 0))
+    listening_socket.listen(BACKLOG)
+    listening_socket.setblocking(False)
+    return listening_socket
 
 
-def format_address(bound: socket.socket) -> str:
+def format_address(bound_socket: socket.socket) -> str:
     """Return the local address of a socket as `host:port`."""
-    host, port = bound.getsockname()
+    host, port = bound_socket.getsockname()
     return f"{host}:{port}"
 
 
@@ -45,11 +45,11 @@
         self._rng = rng
         self._one_way_ms = one_way_ms
         self._jitter = jitter
-        self.added_ms = 0.0  # set by faults
+        self.added_delay_ms = 0.0  # set by faults
 
     def draw_delay(self) -> float:
         """Draw the one-way delay of one message in ms."""
-        mean = self._one_way_ms + self.added_ms
+        mean = self._one_way_ms + self.added_delay_ms
         if not mean:
             return 0.0
         return mean * float(1 + self._rng.uniform(-self._jitter, self._jitter))
@@ -67,7 +67,7 @@
         """Call `callback` after the path's delay plus `extra_ms`, or immediately if that is negligible."""
         when = max(self._clock.now() + self._path.draw_delay() + extra_ms, self._last_call_at)
         self._last_call_at = when
-        if when <= self._clock.now() + IMMEDIATE_MS:
+        if when <= self._clock.now() + NEGLIGIBLE_DELAY_MS:
             callback()
         else:
             self._clock.at(when, callback)
@@ -75,9 +75,9 @@
 
 def reset_connection(transport: asyncio.Transport) -> None:
     """Close a connection with a TCP reset, as when a process is killed."""
-    connected = transport.get_extra_info("socket")
-    if connected is not None and not transport.is_closing():
-        connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    connected_socket = transport.get_extra_info("socket")
+    if connected_socket is not None and not transport.is_closing():
+        connected_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         transport.abort()
 
 
@@ -104,11 +104,11 @@
         self,
         clock: Clock,
         protocol_factory: Callable[[], asyncio.Protocol],
-        listening: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> None:
         self._loop = clock.loop
         self._protocol_factory = protocol_factory
-        self._socket = listening or open_listening_socket()
+        self._socket = listening_socket or open_listening_socket()
         self.address = format_address(self._socket)
         self._backlog_fillers: list[socket.socket] = []
         self._accepting: set[asyncio.Task[object]] = set()
@@ -118,13 +118,13 @@
         self._loop.add_reader(self._socket.fileno(), self._on_readable)
 
     def _on_readable(self) -> None:
-        for _ in range(ACCEPTS_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
-                accepted, _ = self._socket.accept()
+                accepted_socket, _ = self._socket.accept()
             except OSError:
                 return
-            accepted.setblocking(False)
-            connect = self._loop.connect_accepted_socket(self._protocol_factory, accepted)
+            accepted_socket.setblocking(False)
+            connect = self._loop.connect_accepted_socket(self._protocol_factory, accepted_socket)
             task = self._loop.create_task(connect)
             self._accepting.add(task)
             task.add_done_callback(self._on_accepted)
@@ -135,7 +135,7 @@
         if exception:
             self._loop.call_exception_handler({"exception": exception, "message": "accepting"})
 
-    def hand_over(self) -> socket.socket:
+    def detach_socket(self) -> socket.socket:
         """Stop accepting and return the listening socket, which stays open."""
         self._loop.remove_reader(self._socket.fileno())
         return self._socket
@@ -161,7 +161,7 @@
 
 def as_stream_transport(transport: asyncio.BaseTransport) -> asyncio.Transport:
     """Return the transport of a new TCP connection, with Nagle's algorithm disabled."""
-    connected = transport.get_extra_info("socket")
-    if connected is not None:
-        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    connected_socket = transport.get_extra_info("socket")
+    if connected_socket is not None:
+        connected_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return cast(asyncio.Transport, transport)
--- a/tests/emulator/model_test_case.py
+++ b/tests/emulator/model_test_case.py
@@ -25,8 +25,8 @@
         self.shared_data = SharedData(self.keys, lambda: 10_000.0)
         self.replies: list[tuple[str, str, bytes]] = []  # request id, reply type, bytes
 
-    def node(self, name: str = "s1", starts_empty: bool = False, **more: Any) -> CacheNode:
-        for setting, value in more.items():
+    def node(self, name: str = "s1", starts_empty: bool = False, **settings: Any) -> CacheNode:
+        for setting, value in settings.items():
             setattr(self.scenario.fleet, setting, value)
         node = CacheNode(
             0, name, 0, self.scenario.fleet, self.shared_data, np.random.default_rng(1), starts_empty
@@ -34,8 +34,8 @@
         self.shared_data.nodes[name] = node
         return node
 
-    def origin(self, capacity: float = 20, **more: Any) -> OriginModel:
-        for setting, value in more.items():
+    def origin(self, capacity: float = 20, **settings: Any) -> OriginModel:
+        for setting, value in settings.items():
             setattr(self.scenario.origin, setting, value)
         return OriginModel(0, self.scenario.origin, capacity, self.shared_data, np.random.default_rng(1))
 
--- a/tests/emulator/test_cache_memory.py
+++ b/tests/emulator/test_cache_memory.py
@@ -8,7 +8,7 @@
 
 
 class CacheMemoryTest(TestCase):
-    def test_memory_is_bounded_in_the_order_that_is_set_and_goes_stale(self) -> None:
+    def test_objects_are_evicted_in_the_configured_order_and_expire(self) -> None:
         for fifo, kept in [(False, "ac"), (True, "bc")]:
             memory = CacheMemory(2, fifo)
             memory.put(b"a", 0, 100)
--- a/tests/emulator/test_origin.py
+++ b/tests/emulator/test_origin.py
@@ -6,7 +6,7 @@
 
 
 class OriginTest(ServerTestCase):
-    def test_fetches_for_one_key_are_one_and_its_waiters_outlive_the_first(self) -> None:
+    def test_fetches_of_one_key_are_coalesced_and_survive_the_cancel_of_the_first(self) -> None:
         origin = self.origin()
         requests = [self.request(name) for name in "abc"]
         for request in requests:
@@ -18,14 +18,14 @@
         origin.submit(900, self.request("d"))
         self.assertEqual(origin.queue.held, 1)
 
-    def test_a_repeated_keyed_write_is_carried_out_once(self) -> None:
+    def test_a_repeated_write_with_an_idempotency_key_is_executed_once(self) -> None:
         origin = self.origin()
         for name in "ab":
             origin.submit(0, self.request(name, is_write=True, k="token"))
         self.finish_all(origin, 0)
         self.assertEqual(self.shared_data.version(b"k1"), 1)
 
-    def test_it_stops_at_three_times_its_capacity_over_three_seconds_and_not_below(self) -> None:
+    def test_the_origin_stops_above_three_times_its_capacity_for_three_seconds_and_not_below(self) -> None:
         for rate, stops in [(50, 0), (70, 1)]:
             origin = self.origin(20, sigma=0.01, coalesce=False, room_s=99.0)
             for n in range(rate * 4):
--- a/tests/emulator/test_processor_sharing_queue.py
+++ b/tests/emulator/test_processor_sharing_queue.py
@@ -21,7 +21,7 @@
 
 
 class ProcessorSharingQueueTest(TestCase):
-    def test_jobs_share_the_cores_evenly_and_short_ones_leave_first(self) -> None:
+    def test_jobs_share_the_cores_evenly_and_short_jobs_complete_first(self) -> None:
         queue = ProcessorSharingQueue(0, 1, 1.0, 8, 0)
         for work in (10, 20, 30):
             queue.offer(0, Job(work, work))
@@ -29,19 +29,19 @@
         completions = [(round(at, 6), work) for at, work in run_until_empty(queue)]
         self.assertEqual(completions, [(30, 10), (50, 20), (60, 30)])
 
-    def test_beyond_the_slots_jobs_wait_and_beyond_the_room_they_are_rejected(self) -> None:
+    def test_jobs_wait_when_all_slots_are_used_and_are_rejected_when_the_queue_is_full(self) -> None:
         queue = ProcessorSharingQueue(0, 2, 1.0, 2, 1)
         self.assertEqual([queue.offer(0, Job(10, n)) for n in range(4)], [True, True, True, False])
         self.assertEqual([round(t) for t, _ in run_until_empty(queue)], [10, 10, 20])
 
-    def test_a_queue_that_warms_up_does_the_integral_of_its_rising_capacity(self) -> None:
+    def test_work_done_during_warm_up_is_the_integral_of_the_capacity(self) -> None:
         queue = ProcessorSharingQueue(0, 1, 1.0, 1, 0, warm_up=WarmUp(0.2, 1000))
         queue.offer(0, Job(600, "x"))
         # The integral of 0.2 + 0.8 t over one second is 0.6. The queue keeps the rate constant for 100 ms.
         [(when, _)] = run_until_empty(queue)
         self.assertAlmostEqual(when, 1000, delta=60)
 
-    def test_cancelled_jobs_free_their_slots_running_ones_only_if_asked(self) -> None:
+    def test_cancel_frees_slots_and_cancels_running_jobs_only_on_request(self) -> None:
         queue = ProcessorSharingQueue(0, 1, 1.0, 1, 2)
         jobs = [Job(10, n) for n in range(3)]
         for job in jobs:
@@ -58,34 +58,34 @@
         st.integers(1, 3),
         st.integers(1, 4),
     )
-    def test_it_agrees_with_small_steps(
+    def test_completions_agree_with_a_simulation_in_small_steps(
         self, jobs: list[tuple[float, float]], cores: int, slots: int
     ) -> None:
         jobs = sorted(jobs)
         queue = ProcessorSharingQueue(0, cores, 1.0, slots, 99)
-        found = dict[object, float]()
+        completed_at = dict[object, float]()
         for n, (at, work) in enumerate(jobs):
             while queue.next_completion() <= at:
                 now = queue.next_completion()
-                found |= {job.owner: now for job in queue.advance(now)}
-            found |= {job.owner: at for job in queue.advance(at)}
+                completed_at |= {job.owner: now for job in queue.advance(now)}
+            completed_at |= {job.owner: at for job in queue.advance(at)}
             queue.offer(at, Job(work, n))
-        found |= {owner: now for now, owner in run_until_empty(queue, jobs[-1][0])}
+        completed_at |= {owner: now for now, owner in run_until_empty(queue, jobs[-1][0])}
         expected = dict[int, float]()
-        left = dict[int, float]()
+        remaining = dict[int, float]()
         step = 0.01
         now = 0.0
-        todo = list(enumerate(jobs))
-        while todo or left:
-            while todo and todo[0][1][0] <= now:
-                n, (_, work) = todo.pop(0)
-                left[n] = work
-            active = list(left)[:slots]
+        not_arrived = list(enumerate(jobs))
+        while not_arrived or remaining:
+            while not_arrived and not_arrived[0][1][0] <= now:
+                n, (_, work) = not_arrived.pop(0)
+                remaining[n] = work
+            active = list(remaining)[:slots]
             for n in active:
-                left[n] -= step * min(1.0, cores / len(active))
-                if left[n] <= 0:
+                remaining[n] -= step * min(1.0, cores / len(active))
+                if remaining[n] <= 0:
                     expected[n] = now
-                    del left[n]
+                    del remaining[n]
             now += step
         for n, when in expected.items():
-            self.assertAlmostEqual(found[n], when, delta=0.3)
+            self.assertAlmostEqual(completed_at[n], when, delta=0.3)
--- a/tests/emulator/test_reply_pipeline.py
+++ b/tests/emulator/test_reply_pipeline.py
@@ -28,7 +28,7 @@
         self.assertEqual([reply.data for reply in self.written], [b"1", b"2"])
         self.assertEqual(len(self.pipeline), 0)
 
-    def test_a_close_cancels_what_is_not_ready_even_if_a_cancellation_completes_the_next(self) -> None:
+    def test_a_close_cancels_all_pending_requests_even_if_a_cancel_completes_a_reply(self) -> None:
         replies = [self.pipeline.append() for _ in range(2)]
         for number, reply in enumerate(replies):
             reply.request = self.request(b"%d" % number)
