--- a/lupinladder/emulator/cache_node_connection.py
+++ b/lupinladder/emulator/cache_node_connection.py
@@ -45,15 +45,15 @@
         """Accept the connection, which costs work, or reset it if the node is down or has too many."""
         self.transport = as_stream_transport(transport)
         server = self._server
-        config = server.core.config
+        config = server.model.config
         now = self._clock.now()
-        if not server.core.is_up or len(server.connections) >= config.connections:
+        if not server.model.is_up or len(server.connections) >= config.connections:
             reset_connection(self.transport)
             return
         server.connections.add(self)
-        server.core.handshake(now)
+        server.model.handshake(now)
         server.rule_checker.count_rate("connects", now)
-        server.rule_checker.on_server_load(now, self._proxy, server.core.name, config.handshake_ms)
+        server.rule_checker.on_server_load(now, self._proxy, server.model.name, config.handshake_ms)
         server.driver.update()
         self._handshake_done_at = now + config.handshake_rtts * server.round_trip_ms(self._proxy)
         self._restart_idle_timer()
@@ -61,7 +61,7 @@
     def _restart_idle_timer(self) -> None:
         if self._idle_timer:
             self._idle_timer.cancel()
-        self._idle_timer = self._clock.loop.call_later(self._server.core.config.idle_s, self._on_idle)
+        self._idle_timer = self._clock.loop.call_later(self._server.model.config.idle_s, self._on_idle)
 
     def _on_idle(self) -> None:
         if not self._replies and not self._server.is_unresponsive:
@@ -72,8 +72,10 @@
         if self._idle_timer:
             self._idle_timer.cancel()
         self._server.connections.discard(self)
-        self._replies.abandon(self._server.rule_checker, partial(self._server.core.cancel, self._clock.now()))
-        if self._server.core.is_up:
+        self._replies.abandon(
+            self._server.rule_checker, partial(self._server.model.cancel, self._clock.now())
+        )
+        if self._server.model.is_up:
             self._server.driver.update()
 
     def data_received(self, data: bytes) -> None:
@@ -122,10 +124,10 @@
             self._replies.complete(self._replies.append(), response)
 
     def _serve_health_check(self, now: float, name: bytes) -> None:
-        core = self._server.core
+        model = self._server.model
         reply = self._replies.append()
-        response = PONG if name == b"PING" else encode_bulk_string(core.load_report(now))
-        if not core.config.probes:
+        response = PONG if name == b"PING" else encode_bulk_string(model.load_report(now))
+        if not model.config.probes:
             self._replies.complete(reply, PONG if name == b"PING" else b"-NOPERM no probes\r\n")
             return
 
@@ -136,7 +138,7 @@
         reply.request = NodeRequest(
             self._proxy, b"", b"", {}, is_write=False, work=0, reply=on_reply, is_health_check=True
         )
-        core.submit_health_check(now, reply.request)
+        model.submit_health_check(now, reply.request)
         self._server.driver.update()
 
     def _serve_request(self, now: float, is_write: bool, arguments: list[bytes], raw: bytes) -> None:
@@ -152,7 +154,7 @@
             self._replies.complete(reply, b"-SYNTAX " + str(error).encode() + b"\r\n")
             return
         _, key, request_id, *_ = arguments
-        name = server.core.name
+        name = server.model.name
         reply.attempt = server.rule_checker.on_command_received(
             now, self._first_byte_at, self._proxy, name, request_id, raw
         )
@@ -170,8 +172,8 @@
             self._requests.call_after_delay(partial(self._submit, reply), handshake_remaining)
 
     def _submit(self, reply: PendingReply) -> None:
-        if reply.request and reply in self._replies and self._server.core.is_up:
-            self._server.core.submit(self._clock.now(), reply.request)
+        if reply.request and reply in self._replies and self._server.model.is_up:
+            self._server.model.submit(self._clock.now(), reply.request)
             self._server.driver.update()
 
     def _write(self, reply: PendingReply) -> None:
--- a/lupinladder/emulator/cache_node_server.py
+++ b/lupinladder/emulator/cache_node_server.py
@@ -23,7 +23,7 @@
     def __init__(
         self,
         clock: Clock,
-        core: CacheNode,
+        model: CacheNode,
         rule_checker: RuleChecker,
         draw_work: WorkSampler,
         paths: Sequence[NetworkPath],
@@ -32,12 +32,12 @@
     ) -> None:
         """`paths` and `sockets` (taken over from an ended node) are indexed by proxy."""
         self.clock = clock
-        self.core = core
+        self.model = model
         self.rule_checker = rule_checker
         self.draw_work = draw_work
         self.paths = paths
         self.round_trip_ms = round_trip_ms
-        self.driver = ModelDriver(clock, core)
+        self.driver = ModelDriver(clock, model)
         self.connections: set[CacheNodeConnection] = set()
         self.corruption: ResponseCorruption | None = None  # set by faults
         self.is_unresponsive = False
@@ -72,7 +72,7 @@
         return sockets
 
     def _end_process(self) -> None:
-        self.core.is_up = False
+        self.model.is_up = False
         self.reset_connections()
         self.driver.stop()
 
--- a/lupinladder/emulator/cluster.py
+++ b/lupinladder/emulator/cluster.py
@@ -94,7 +94,7 @@
 
     def _make_origin(self) -> OriginServer:
         scenario = self.scenario
-        core = OriginModel(
+        model = OriginModel(
             self.clock.now(),
             scenario.origin,
             origin_capacity(scenario),
@@ -103,7 +103,7 @@
         )
         return OriginServer(
             self.clock,
-            core,
+            model,
             self._rule_checker,
             self._paths_to(ORIGIN_ZONE),
             self._missed_at_warming_node,
@@ -175,7 +175,7 @@
         now = self.clock.now()
         config = self.scenario.fleet
         name = name or f"s-{int(self._rng.integers(1 << 32)):08x}"
-        core = CacheNode(now, name, zone, config, self._shared_data, self._rng, starts_empty)
+        model = CacheNode(now, name, zone, config, self._shared_data, self._rng, starts_empty)
 
         def round_trip_ms(proxy: int) -> float:
             """Return the round trip time between this proxy and the node, without jitter."""
@@ -183,7 +183,7 @@
 
         server = CacheNodeServer(
             self.clock,
-            core,
+            model,
             self._rule_checker,
             self.draw_work,
             self._paths_to(zone),
@@ -192,18 +192,18 @@
         )
         server.open()
         server.on_overload_crash = lambda: self._on_overload_crash(server)
-        self._shared_data.nodes[name] = core
-        self._since_ms[name] = int(core.started_at + self.wall_step_ms) if core.started_at else 0
+        self._shared_data.nodes[name] = model
+        self._since_ms[name] = int(model.started_at + self.wall_step_ms) if model.started_at else 0
         self.nodes[name] = server
         if starts_empty:
-            self._rule_checker.on_server_started(now, name, config.cold_s * 1000, core.queue.capacity)
+            self._rule_checker.on_server_started(now, name, config.cold_s * 1000, model.queue.capacity)
         return server
 
     def entry(self, node: CacheNodeServer, status: EndpointStatus) -> ListedEndpoint:
         """Return the endpoint list's entry for a node."""
-        core = node.core
-        zone = self.scenario.fleet.zones[core.zone]
-        return ListedEndpoint(core.name, zone, NODE_TYPE, core.zone, status, self._since_ms[core.name])
+        model = node.model
+        zone = self.scenario.fleet.zones[model.zone]
+        return ListedEndpoint(model.name, zone, NODE_TYPE, model.zone, status, self._since_ms[model.name])
 
     def addresses(self, proxy: int) -> dict[str, str]:
         """Return the address at which this proxy reaches each server, by server name."""
@@ -229,7 +229,7 @@
         """Start a node with an empty cache, on `sockets` (by proxy) and under `name` if they are given."""
         node = self._make_node(zone, True, sockets, name)
         self.announce(self.entry(node, EndpointStatus.ACTIVE))
-        self.on_change(f"{node.core.name} started")
+        self.on_change(f"{node.model.name} started")
         return node
 
     def drain(self, node: CacheNodeServer) -> None:
@@ -250,14 +250,14 @@
     def replace_unresponsive(self, node: CacheNodeServer) -> None:
         """Restart an isolated machine under its old name, with an empty cache."""
         node.crash()
-        self.nodes.pop(node.core.name, None)
-        self.start_node(node.core.zone, None, node.core.name)
+        self.nodes.pop(node.model.name, None)
+        self.start_node(node.model.zone, None, node.model.name)
 
     def _on_overload_crash(self, node: CacheNodeServer) -> None:
         self._remove(node, "fell over")
 
     def _remove(self, node: CacheNodeServer, description: str) -> None:
-        name = node.core.name
+        name = node.model.name
         if self.nodes.get(name) is node:
             del self.nodes[name]
         self._shared_data.nodes.pop(name, None)
--- a/lupinladder/emulator/environment_faults.py
+++ b/lupinladder/emulator/environment_faults.py
@@ -59,7 +59,7 @@
 
     async def _slow_origin(self, fault: FaultConfig) -> None:
         """Make the origin slower by the factor `size`."""
-        queue = self._cluster.origin.core.queue
+        queue = self._cluster.origin.model.queue
         queue.slowdown *= fault.size
         await asyncio.sleep(fault.for_s)
         queue.slowdown /= fault.size
--- a/lupinladder/emulator/fault_context.py
+++ b/lupinladder/emulator/fault_context.py
@@ -36,6 +36,6 @@
 
     def pick_nodes(self, share: float) -> list[CacheNodeServer]:
         """Pick a random share of the cache nodes, at least one."""
-        nodes = sorted(self.cluster.nodes.values(), key=lambda node: node.core.name)
+        nodes = sorted(self.cluster.nodes.values(), key=lambda node: node.model.name)
         count = max(1, round(share * len(nodes)))
         return [nodes[n] for n in self.rng.permutation(len(nodes))[:count]]
--- a/lupinladder/emulator/node_faults.py
+++ b/lupinladder/emulator/node_faults.py
@@ -59,14 +59,14 @@
         for node in batch:
             self._cluster.drain(node)
             if not fault.reuse:
-                self._cluster.start_node(node.core.zone)
+                self._cluster.start_node(node.model.zone)
         await asyncio.sleep(fault.drain_s)
         for node in batch:
-            if not node.core.is_up:
+            if not node.model.is_up:
                 continue
             if fault.reuse:
                 sockets = self._cluster.end_node_and_keep_sockets(node)
-                self._cluster.start_node(node.core.zone, sockets)
+                self._cluster.start_node(node.model.zone, sockets)
             else:
                 self._cluster.end_node(node)
 
@@ -81,7 +81,7 @@
         await asyncio.sleep(fault.drain_s)
 
     def _end_if_up(self, node: CacheNodeServer) -> None:
-        if node.core.is_up:
+        if node.model.is_up:
             self._cluster.end_node(node)
 
     async def _grow(self, fault: FaultConfig) -> None:
@@ -96,7 +96,7 @@
         for node in self._context.pick_nodes(fault.part):
             node.stop_responding()
             self._cluster.announce(self._cluster.entry(node, EndpointStatus.REMOVED), notice_s)
-            self._context.mark(f"{node.core.name} silent")
+            self._context.mark(f"{node.model.name} silent")
             restarts_at = self._clock.now() + fault.for_s * 1000
             self._clock.at(restarts_at, partial(self._cluster.replace_unresponsive, node))
         await asyncio.sleep(fault.for_s)
@@ -122,7 +122,7 @@
 
     def _slow_down(self, node: CacheNodeServer, factor: float) -> None:
         node.driver.update()  # accounts for the work until now at the old speed
-        node.core.queue.slowdown *= factor
+        node.model.queue.slowdown *= factor
         node.driver.update()
 
     async def _pause_nodes(self, fault: FaultConfig) -> None:
@@ -135,7 +135,7 @@
     async def _pause_repeatedly(self, node: CacheNodeServer, pause_s: float, ends_at: float) -> None:
         while True:
             await asyncio.sleep(float(self._context.rng.uniform(*PAUSE_INTERVAL_FACTORS)) * pause_s)
-            if self._clock.now() + pause_s * 1000 > ends_at or not node.core.is_up:
+            if self._clock.now() + pause_s * 1000 > ends_at or not node.model.is_up:
                 return
             self._slow_down(node, PAUSED_SLOWDOWN)
             await asyncio.sleep(pause_s)
--- a/lupinladder/emulator/origin_connection.py
+++ b/lupinladder/emulator/origin_connection.py
@@ -42,7 +42,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Accept the connection, or reset it if the origin is down or has too many."""
         self.transport = as_stream_transport(transport)
-        is_down = self._clock.now() < self._server.core.down_until
+        is_down = self._clock.now() < self._server.model.down_until
         if is_down or len(self._server.connections) >= MAX_CONNECTIONS:
             reset_connection(self.transport)
             return
@@ -54,7 +54,7 @@
         self._replies.abandon(self._server.rule_checker, self._cancel)
 
     def _cancel(self, request: NodeRequest) -> None:
-        self._server.core.cancel(self._clock.now(), request)
+        self._server.model.cancel(self._clock.now(), request)
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes, and keep them for the rule checker."""
@@ -118,11 +118,11 @@
         body: bytes,
         headers: Mapping[bytes, bytes] = NO_HEADERS,
     ) -> None:
-        core = self._server.core
+        model = self._server.model
         load_report = b"eps=0,latency_ms=%.1f,qps=%d,inflight=%d" % (
-            core.queue.held,
-            core.served,
-            core.queue.held,
+            model.queue.held,
+            model.served,
+            model.queue.held,
         )
         reply.value = body
         self._replies.complete(reply, encode_response(status, body, {b"X-Pressure": load_report, **headers}))
--- a/lupinladder/emulator/origin_server.py
+++ b/lupinladder/emulator/origin_server.py
@@ -19,7 +19,7 @@
     def __init__(
         self,
         clock: Clock,
-        core: OriginModel,
+        model: OriginModel,
         rule_checker: RuleChecker,
         paths: Sequence[NetworkPath],
         missed_at_warming_node: Callable[[bytes], bool] = lambda _request_id: False,
@@ -27,10 +27,10 @@
     ) -> None:
         """`missed_at_warming_node` returns whether a fetch follows a miss at a node that is warming up."""
         self.clock = clock
-        self.core = core
+        self.model = model
         self.rule_checker = rule_checker
         self.paths = paths
-        self.driver = ModelDriver(clock, core)
+        self.driver = ModelDriver(clock, model)
         self.connections: set[OriginConnection] = set()
         self.sends_interim_responses = False  # set by faults
         self._missed_at_warming_node = missed_at_warming_node
@@ -48,11 +48,11 @@
     def submit(self, request: NodeRequest) -> None:
         """Submit a complete request. If its load makes the origin stop, all connections are reset."""
         now = self.clock.now()
-        self.core.submit(now, request)
+        self.model.submit(now, request)
         is_from_warming_node = not request.is_write and self._missed_at_warming_node(request.request_id)
         self.rule_checker.on_origin_load(now, request.work, is_from_warming_node, self._overload_window_ms)
-        if self.core.stops > self._stops_handled:
-            self._stops_handled = self.core.stops
+        if self.model.stops > self._stops_handled:
+            self._stops_handled = self.model.stops
             self.rule_checker.origin_stopped(now)
             reset_all(self.connections)
         self.driver.update()
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -177,10 +177,10 @@
             now = self.clock.now()
             at = (now - self._start) / 1000
             nodes = {
-                name: (node.core.queue.held, node.core.queue.warmth(now))
+                name: (node.model.queue.held, node.model.queue.warmth(now))
                 for name, node in self.cluster.nodes.items()
             }
-            origin_held = self.cluster.origin.core.queue.held
+            origin_held = self.cluster.origin.model.queue.held
             self._snapshots.append(Snapshot(round(at, 2), nodes, origin_held, self.clients.open_requests))
             self.proxies.look(self._start)
             gc.collect(1)  # the young objects alone: what a request leaves behind
@@ -211,7 +211,7 @@
             late_worst=max(self._lateness.lags, default=0.0),
             late_begin=begun_late[int(len(begun_late) * 0.99)] if begun_late else 0.0,
             void=self._void_reason(late_share),
-            origin_stops=self.cluster.origin.core.stops,
+            origin_stops=self.cluster.origin.model.stops,
             rates=self.rule_checker.log.rates,
             misbehaving_owed=self.clients.misbehaving.reactions_owed,
             misbehaving_unpaid=self.clients.misbehaving.reactions_missing,
--- a/tests/emulator/model_test_case.py
+++ b/tests/emulator/model_test_case.py
@@ -52,10 +52,10 @@
             lambda data, reply_type: self.replies.append((request_id, reply_type, data)),
         )
 
-    def finish_all(self, core: CacheNode | OriginModel, now: float) -> float:
-        while core.next_wakeup() < inf:
-            now = max(now, core.next_wakeup())
-            core.advance(now)
+    def finish_all(self, model: CacheNode | OriginModel, now: float) -> float:
+        while model.next_wakeup() < inf:
+            now = max(now, model.next_wakeup())
+            model.advance(now)
         return now
 
     def reply_types(self) -> list[tuple[str, str]]:
