--- a/lupinladder/cli/emulator/live_view.py
+++ b/lupinladder/cli/emulator/live_view.py
@@ -66,7 +66,7 @@
     def _state_table(self, at: float, run: Run) -> Table:
         table = Table.grid(padding=(0, 2))
         table.add_row("in time lately", self._recent_share(at, run), "open", str(run.clients.open_requests))
-        table.add_row("origin holds", str(run.cluster.origin.model.queue.held), "", "")
+        table.add_row("origin holds", str(run.cluster.origin.model.queue.job_count), "", "")
         for row in islice(_node_rows(run), MAX_NODES):
             table.add_row(*row)
         for when, what in run.faults.marks[-MAX_MARKS:]:
@@ -89,4 +89,4 @@
         machine = node.model.queue
         warmth = machine.warmth(now)
         state = "" if warmth >= 1 else f"cold, {warmth:.0%}"
-        yield name, "#" * min(machine.held, MAX_BAR_LENGTH), "", state
+        yield name, "#" * min(machine.job_count, MAX_BAR_LENGTH), "", state
--- a/lupinladder/emulator/load_report.py
+++ b/lupinladder/emulator/load_report.py
@@ -47,5 +47,5 @@
             failures,
             latency_ms,
             count,
-            self._queue.held,
+            self._queue.job_count,
         )
--- a/lupinladder/emulator/origin_connection.py
+++ b/lupinladder/emulator/origin_connection.py
@@ -120,9 +120,9 @@
     ) -> None:
         model = self._server.model
         load_report = b"eps=0,latency_ms=%.1f,qps=%d,inflight=%d" % (
-            model.queue.held,
+            model.queue.job_count,
             model.served,
-            model.queue.held,
+            model.queue.job_count,
         )
         reply.value = body
         self._replies.complete(reply, encode_response(status, body, {b"X-Pressure": load_report, **headers}))
--- a/lupinladder/emulator/processor_sharing_queue.py
+++ b/lupinladder/emulator/processor_sharing_queue.py
@@ -95,7 +95,7 @@
         self._waiting_count = 0  # without cancelled jobs
 
     @property
-    def held(self) -> int:
+    def job_count(self) -> int:
         """The number of jobs that run or wait."""
         return self._running_count + self._waiting_count
 
@@ -113,7 +113,7 @@
 
     def _rate(self, now: float) -> float:
         """Return the work in ms that is done per millisecond on each running job."""
-        excess = max(0, self.held - self._thrashing.threshold)
+        excess = max(0, self.job_count - self._thrashing.threshold)
         efficiency = 1 / (1 + self._thrashing.loss_per_job * excess)
         core_share = min(1.0, self.cores / self._running_count)
         return core_share * self.speed * self.warmth(now) * efficiency / self.slowdown
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -177,10 +177,10 @@
             now = self.clock.now()
             at = (now - self._start) / 1000
             nodes = {
-                name: (node.model.queue.held, node.model.queue.warmth(now))
+                name: (node.model.queue.job_count, node.model.queue.warmth(now))
                 for name, node in self.cluster.nodes.items()
             }
-            origin_held = self.cluster.origin.model.queue.held
+            origin_held = self.cluster.origin.model.queue.job_count
             self._snapshots.append(Snapshot(round(at, 2), nodes, origin_held, self.clients.open_requests))
             self.proxies.look(self._start)
             gc.collect(1)  # the young objects alone: what a request leaves behind
--- a/tests/emulator/test_origin.py
+++ b/tests/emulator/test_origin.py
@@ -11,12 +11,12 @@
         requests = [self.request(name) for name in "abc"]
         for request in requests:
             origin.submit(0, request)
-        self.assertEqual(origin.queue.held, 1)
+        self.assertEqual(origin.queue.job_count, 1)
         origin.cancel(0, requests[0])
         self.finish_all(origin, 0)
         self.assertEqual(self.reply_types(), [("b", "value"), ("c", "value")])
         origin.submit(900, self.request("d"))
-        self.assertEqual(origin.queue.held, 1)
+        self.assertEqual(origin.queue.job_count, 1)
 
     def test_a_repeated_write_with_an_idempotency_key_is_executed_once(self) -> None:
         origin = self.origin()
--- a/tests/emulator/test_processor_sharing_queue.py
+++ b/tests/emulator/test_processor_sharing_queue.py
@@ -50,7 +50,7 @@
         self.assertTrue(queue.cancel(jobs[1], running_too=False))
         self.assertTrue(queue.cancel(jobs[0], running_too=True))
         self.assertEqual([(round(t), n) for t, n in run_until_empty(queue)], [(10, 2)])
-        self.assertEqual(queue.held, 0)
+        self.assertEqual(queue.job_count, 0)
 
     @settings(max_examples=60, deadline=None)
     @given(
