--- a/lupinladder/emulator/environment_faults.py
+++ b/lupinladder/emulator/environment_faults.py
@@ -33,7 +33,7 @@
     async def _await_hot_key_end(self, fault: FaultConfig) -> None:
         """Wait until the hot key ends. The arrivals, which are drawn in advance, already contain it."""
         await asyncio.sleep(fault.for_s)
-        self._context.mark("hot key over")
+        self._context.record_event("hot key over")
 
     async def _delay_list(self, fault: FaultConfig) -> None:
         """Delay the detection of changes by discovery by `size` seconds."""
@@ -41,7 +41,7 @@
         endpoints.added_delay_ms += fault.size * 1000
         await asyncio.sleep(fault.for_s)
         endpoints.added_delay_ms -= fault.size * 1000
-        self._context.mark("list in time again")
+        self._context.record_event("list in time again")
 
     async def _stop_discovery(self, fault: FaultConfig) -> None:
         """Reset all connections to discovery, and any new one while the fault lasts."""
@@ -49,7 +49,7 @@
         discovery.go_down()
         await asyncio.sleep(fault.for_s)
         discovery.is_down = False
-        self._context.mark("list back")
+        self._context.record_event("list back")
 
     async def _move_discovery(self, _fault: FaultConfig) -> None:
         """Move discovery to a new address, write it to the proxies' configuration and send them SIGHUP."""
@@ -63,7 +63,7 @@
         queue.slowdown *= fault.size
         await asyncio.sleep(fault.for_s)
         queue.slowdown /= fault.size
-        self._context.mark("origin as before")
+        self._context.record_event("origin as before")
 
     async def _relist_origin(self, _fault: FaultConfig) -> None:
         """Announce a new start time of the origin; its process and connections are not affected."""
@@ -85,4 +85,4 @@
         await asyncio.sleep(fault.for_s)
         for path in paths:
             path.added_delay_ms -= fault.size * 1000
-        self._context.mark("ways as before")
+        self._context.record_event("ways as before")
--- a/lupinladder/emulator/fault_context.py
+++ b/lupinladder/emulator/fault_context.py
@@ -27,7 +27,7 @@
     proxies: Proxies
     selector: ProxySelector
     rng: np.random.Generator
-    mark: Callable[[str], None]  # records an event of the run's timeline
+    record_event: Callable[[str], None]  # records an event of the run's timeline
 
     @property
     def clock(self) -> Clock:
--- a/lupinladder/emulator/faults.py
+++ b/lupinladder/emulator/faults.py
@@ -29,15 +29,15 @@
         self._start = start
         self._tasks: set[asyncio.Task[None]] = set()
         rng = random_stream(cluster.scenario.seed, "faults")
-        context = FaultContext(cluster, proxies, selector, rng, self._mark)
+        context = FaultContext(cluster, proxies, selector, rng, self._record_event)
         self._handlers: dict[str, FaultHandler] = {
             **NodeFaults(context).handlers(),
             **EnvironmentFaults(context).handlers(),
             **ProxyFaults(context).handlers(),
         }
-        cluster.on_change = self._mark
+        cluster.on_change = self._record_event
 
-    def _mark(self, description: str) -> None:
+    def _record_event(self, description: str) -> None:
         self.marks.append(((self._clock.now() - self._start) / 1000, description))
 
     def plan(self, faults: list[FaultConfig]) -> None:
@@ -46,7 +46,7 @@
             self._clock.at(self._start + fault.at * 1000, partial(self._start_fault, fault))
 
     def _start_fault(self, fault: FaultConfig) -> None:
-        self._mark(f"[{fault.kind}]")
+        self._record_event(f"[{fault.kind}]")
         task = self._clock.loop.create_task(self._handlers[fault.kind](fault))
         self._tasks.add(task)
         task.add_done_callback(partial(self._on_fault_finished, fault))
--- a/lupinladder/emulator/node_faults.py
+++ b/lupinladder/emulator/node_faults.py
@@ -96,7 +96,7 @@
         for node in self._context.pick_nodes(fault.part):
             node.stop_responding()
             self._cluster.announce(self._cluster.entry(node, EndpointStatus.REMOVED), notice_s)
-            self._context.mark(f"{node.model.name} silent")
+            self._context.record_event(f"{node.model.name} silent")
             restarts_at = self._clock.now() + fault.for_s * 1000
             self._clock.at(restarts_at, partial(self._cluster.replace_unresponsive, node))
         await asyncio.sleep(fault.for_s)
@@ -118,7 +118,7 @@
         for node in nodes:
             node.corruption = None
         self._cluster.origin.sends_interim_responses = False
-        self._context.mark("answers clean again")
+        self._context.record_event("answers clean again")
 
     def _slow_down(self, node: CacheNodeServer, factor: float) -> None:
         node.driver.update()  # accounts for the work until now at the old speed
@@ -130,7 +130,7 @@
         ends_at = self._clock.now() + fault.for_s * 1000
         nodes = self._context.pick_nodes(fault.part)
         await asyncio.gather(*(self._pause_repeatedly(node, fault.size, ends_at) for node in nodes))
-        self._context.mark("no more pauses")
+        self._context.record_event("no more pauses")
 
     async def _pause_repeatedly(self, node: CacheNodeServer, pause_s: float, ends_at: float) -> None:
         while True:
@@ -151,4 +151,4 @@
                 for node in nodes:
                     self._slow_down(node, factor)
                 await asyncio.sleep(float(self._context.rng.uniform(*NEIGHBOUR_INTERVAL_S)))
-        self._context.mark("neighbours gone")
+        self._context.record_event("neighbours gone")
--- a/lupinladder/emulator/proxy_faults.py
+++ b/lupinladder/emulator/proxy_faults.py
@@ -74,7 +74,7 @@
         self._kill_process(proxy)
         await asyncio.sleep(fault.for_s)
         await self._start(proxy)
-        self._context.mark(f"proxy {fault.proxy} started")
+        self._context.record_event(f"proxy {fault.proxy} started")
 
     async def _kill_many(self, fault: FaultConfig) -> None:
         """SIGKILL to a part of the proxies in one instant; all are started again together after a while.
@@ -84,7 +84,7 @@
         killed = self._pick_proxies(fault.part)
         for proxy in killed:
             self._kill_process(proxy)
-        self._context.mark(f"{len(killed)} proxies killed")
+        self._context.record_event(f"{len(killed)} proxies killed")
         await asyncio.gather(*(proxy.process.wait() for proxy in killed if proxy.process))
         stores = [self._proxies.store(proxy) for proxy in killed]
         corrupt_stores(stores, fault.how or "kept", self._context.rng)
@@ -94,18 +94,18 @@
             starts.append(asyncio.ensure_future(self._start(proxy)))
             await asyncio.sleep(START_INTERVAL_S)
         await asyncio.gather(*starts)
-        self._context.mark(f"{len(killed)} proxies started")
+        self._context.record_event(f"{len(killed)} proxies started")
 
     async def _stop_processes(self, fault: FaultConfig) -> None:
         """SIGSTOP to a part of the proxies, SIGCONT after a while: they go on with what they last knew."""
         stopped = self._pick_proxies(fault.part)
         for proxy in stopped:
             self._proxies.freeze(proxy, True)
-        self._context.mark(f"{len(stopped)} proxies stand still")
+        self._context.record_event(f"{len(stopped)} proxies stand still")
         await asyncio.sleep(fault.for_s)
         for proxy in stopped:
             self._proxies.freeze(proxy, False)
-        self._context.mark(f"{len(stopped)} proxies go on")
+        self._context.record_event(f"{len(stopped)} proxies go on")
 
     async def _restart(self, fault: FaultConfig) -> None:
         """Restart one proxy as planned."""
@@ -123,7 +123,7 @@
         system.fail_calls(fault.part)
         await asyncio.sleep(fault.for_s)
         system.fail_calls(0.0)
-        self._context.mark("calls succeed again")
+        self._context.record_event("calls succeed again")
 
     async def _restart_all(self, fault: FaultConfig) -> None:
         """Restart all proxies as planned, one after another."""
@@ -143,7 +143,7 @@
         self._context.selector.stopping[proxy.number] = False
         await asyncio.sleep(away_s)
         await self._start(proxy)
-        self._context.mark(f"proxy {proxy.number} started")
+        self._context.record_event(f"proxy {proxy.number} started")
 
     def _stop_choosing(self, proxy: Managed) -> None:
         self._context.selector.alive[proxy.number] = False
@@ -179,4 +179,4 @@
         await asyncio.sleep(fault.for_s)
         for writer in writers:
             writer.close()
-        self._context.mark("silent connections gone")
+        self._context.record_event("silent connections gone")
