--- a/lupinladder/emulator/faults.py
+++ b/lupinladder/emulator/faults.py
@@ -40,7 +40,7 @@
     def _record_event(self, description: str) -> None:
         self.marks.append(((self._clock.now() - self._start) / 1000, description))
 
-    def plan(self, faults: list[FaultConfig]) -> None:
+    def schedule(self, faults: list[FaultConfig]) -> None:
         """Schedule these faults at their times."""
         for fault in faults:
             self._clock.at(self._start + fault.at * 1000, partial(self._start_fault, fault))
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -163,7 +163,7 @@
             self.clock, self.scenario, self.rule_checker, self.proxies.all, selector, self._start
         )
         self.faults = FaultInjector(self.cluster, self.proxies, selector, self._start)
-        self.faults.plan(self.scenario.faults)
+        self.faults.schedule(self.scenario.faults)
         snapshots = self.clock.loop.create_task(self._take_snapshots())
         await self.clients.play(arrivals)
         await self.faults.finish()
