--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -20,7 +20,7 @@
 from lupinladder.emulator import report, run
 from lupinladder.emulator.client_pool import ClientPool
 from lupinladder.emulator.client_request import Result
-from lupinladder.emulator.clock import Clock, Lateness
+from lupinladder.emulator.clock import Clock, EventLoopLagMonitor
 from lupinladder.emulator.cluster import Cluster
 from lupinladder.emulator.load_generator import LoadGenerator
 from lupinladder.emulator.proxy_selector import ProxySelector
@@ -123,7 +123,7 @@
         start,
     )
     with _no_garbage_collection():
-        lateness = Lateness(clock)
+        lateness = EventLoopLagMonitor(clock)
         await _begin_arrivals(generator, ArrivalPlan(scenario, keys), clock, start)
         lateness.stop()
     cluster.close()
--- a/lupinladder/emulator/clock.py
+++ b/lupinladder/emulator/clock.py
@@ -94,7 +94,7 @@
             self._timer.cancel()
 
 
-class Lateness:
+class EventLoopLagMonitor:
     """Measures how late the emulator's event loop runs. A run with a late loop does not test the proxies."""
 
     def __init__(self, clock: Clock) -> None:
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from lupinladder.emulator.clock import Clock, Lateness
+from lupinladder.emulator.clock import Clock, EventLoopLagMonitor
 from lupinladder.emulator.cluster import Cluster
 from lupinladder.emulator.endpoint_list import ListedEndpoint
 from lupinladder.emulator.faults import FaultInjector
@@ -59,7 +59,7 @@
     clients: RunClients
     faults: FaultInjector
     _peers: Peers
-    _lateness: Lateness
+    _lateness: EventLoopLagMonitor
     _start: float  # of the counted part, ms
 
     def __init__(self, scenario: Scenario, folder: Path, observer: Observer | None = None) -> None:
@@ -157,7 +157,7 @@
         _suspend_garbage_collection()
         self._start = self.clock.now() + self.scenario.lead_s * 1000 + START_MARGIN_MS
         self.rule_checker.log.start = self._start
-        self._lateness = Lateness(self.clock)
+        self._lateness = EventLoopLagMonitor(self.clock)
         selector = ProxySelector([proxy.zone for proxy in self.proxies.all])
         self.clients = RunClients(
             self.clock, self.scenario, self.rule_checker, self.proxies.all, selector, self._start
