--- a/lupinladder/emulator/peers.py
+++ b/lupinladder/emulator/peers.py
@@ -13,7 +13,7 @@
 MAX_DATAGRAM_SIZE = 256
 
 
-class Peers:
+class PeerRelays:
     """Relays datagrams between the proxies, which are configured with the relays' addresses.
 
     Proxy p is configured with `addresses(p)` as `peers`. A datagram that it sends to one of them arrives at
@@ -52,7 +52,7 @@
         """Return the address at which this proxy reaches each proxy."""
         return [_format_address(self._relays[sender, other]) for other in range(len(self._listeners))]
 
-    def to_all(self, sender: int) -> str:
+    def broadcast_address(self, sender: int) -> str:
         """Return the address at which this proxy reaches all others with one datagram."""
         return _format_address(self._broadcast_relays[sender])
 
@@ -93,7 +93,7 @@
 class _Relay(asyncio.DatagramProtocol):
     """A socket that forwards the datagrams of one proxy to `receivers`."""
 
-    def __init__(self, peer_relays: Peers, sender: int, receivers: list[int]) -> None:
+    def __init__(self, peer_relays: PeerRelays, sender: int, receivers: list[int]) -> None:
         self._peer_relays = peer_relays
         self._sender = sender
         self._receivers = receivers
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -19,7 +19,7 @@
 from lupinladder.emulator.endpoint_list import ListedEndpoint
 from lupinladder.emulator.faults import FaultInjector
 from lupinladder.emulator.managed_proxy import Managed
-from lupinladder.emulator.peers import Peers
+from lupinladder.emulator.peers import PeerRelays
 from lupinladder.emulator.proxies import Proxies
 from lupinladder.emulator.proxy_selector import ProxySelector
 from lupinladder.emulator.rule_checker import RuleChecker
@@ -58,7 +58,7 @@
     cluster: Cluster
     clients: RunClients
     faults: FaultInjector
-    _peers: Peers
+    _peers: PeerRelays
     _lateness: EventLoopLagMonitor
     _start: float  # of the counted part, ms
 
@@ -116,7 +116,7 @@
         zones = [proxy.zone for proxy in self.proxies.all]
         self.cluster = Cluster(clock, scenario, keys, self.rule_checker, zones)
         peer_addresses = [proxy.peer_listen for proxy in self.proxies.all]
-        self._peers = Peers(clock, scenario.net, random_stream(scenario.seed, "peers"), peer_addresses)
+        self._peers = PeerRelays(clock, scenario.net, random_stream(scenario.seed, "peers"), peer_addresses)
 
     async def _start_proxies(self) -> None:
         starts = [self.proxies.start(proxy) for proxy in self.proxies.all]
@@ -136,7 +136,7 @@
         return {
             "discovery": self.cluster.discovery.listeners[proxy.number].address,
             "peers": self._peers.addresses(proxy.number),
-            "peers_all": self._peers.to_all(proxy.number),
+            "peers_all": self._peers.broadcast_address(proxy.number),
             "known": {**json.loads(text), "index": index},
         }
 
