--- a/lupinladder/emulator/cache_node.py
+++ b/lupinladder/emulator/cache_node.py
@@ -63,7 +63,7 @@
             thrashing=Thrashing(config.thrash, config.thrash_at),
             warm_up=_warm_up(config) if starts_empty else None,
         )
-        self._pending_fetches: dict[bytes, float] = {}  # time in ms when a fetch is over, by key
+        self._pending_fetches: dict[bytes, float] = {}  # time in ms when a fetch counts as over, by key
         self._load_reporter = LoadReporter(self.queue, config.report_ms)
 
     def submit(self, now: float, request: NodeRequest) -> None:
