--- a/lupinladder/emulator/cache_node_connection.py
+++ b/lupinladder/emulator/cache_node_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a proxy to a cache node: RESP2 commands, served as they arrive, replied to in order."""
+"""One connection from a proxy to a cache node: RESP2 commands, served on arrival, with replies in order."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 READ_COMMAND = b"OBJ.GET"
 WRITE_COMMAND = b"OBJ.SET"
 READ_ARGUMENTS = 4  # command, key, request id, labels
-WRITE_ARGUMENTS = 5  # the same and the value
+WRITE_ARGUMENTS = 5  # command, key, request id, labels, value
 PONG = b"+PONG\r\n"
 
 
 class CacheNodeConnection(asyncio.Protocol):
-    """One connection from a proxy."""
+    """Reads commands from one proxy, submits them to the node and writes the replies."""
 
     def __init__(self, server: CacheNodeServer, proxy: int) -> None:
         self._server = server
@@ -34,26 +34,26 @@
         self._clock = server.clock
         self.transport: asyncio.Transport | None = None
         self._reader = hiredis.Reader()
-        self._raw = bytearray()  # the bytes of the command that is arriving
-        self._first_byte_at = 0.0  # of that command
+        self._raw = bytearray()  # bytes received of the current command
+        self._first_byte_at = 0.0  # time in ms of its first byte
         self._requests = DelayedChannel(self._clock, server.paths[proxy])
         self._replies = ReplyPipeline(DelayedChannel(self._clock, server.paths[proxy]), self._write)
         self._handshake_done_at = 0.0
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, which costs work, or reset it if there are too many."""
+        """Accept the connection, which costs work, or reset it if the node is down or has too many."""
         self.transport = as_stream_transport(transport)
         server = self._server
-        config = server.core.config
+        config = server.model.config
         now = self._clock.now()
-        if not server.core.up or len(server.connections) >= config.connections:
+        if not server.model.is_up or len(server.connections) >= config.connections:
             reset_connection(self.transport)
             return
         server.connections.add(self)
-        server.core.handshake(now)
+        server.model.handshake(now)
         server.rule_checker.count_rate("connects", now)
-        server.rule_checker.on_server_load(now, self._proxy, server.core.name, config.handshake_ms)
+        server.rule_checker.on_server_load(now, self._proxy, server.model.name, config.handshake_ms)
         server.driver.update()
         self._handshake_done_at = now + config.handshake_rtts * server.round_trip_ms(self._proxy)
         self._restart_idle_timer()
@@ -61,23 +61,25 @@
     def _restart_idle_timer(self) -> None:
         if self._idle_timer:
             self._idle_timer.cancel()
-        self._idle_timer = self._clock.loop.call_later(self._server.core.config.idle_s, self._on_idle)
+        self._idle_timer = self._clock.loop.call_later(self._server.model.config.idle_s, self._on_idle)
 
     def _on_idle(self) -> None:
         if not self._replies and not self._server.is_unresponsive:
             self._close()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Cancel what the connection still waits for."""
+        """Cancel the requests of the connection that have no reply yet."""
         if self._idle_timer:
             self._idle_timer.cancel()
         self._server.connections.discard(self)
-        self._replies.abandon(self._server.rule_checker, partial(self._server.core.cancel, self._clock.now()))
-        if self._server.core.up:
+        self._replies.abandon(
+            self._server.rule_checker, partial(self._server.model.cancel, self._clock.now())
+        )
+        if self._server.model.is_up:
             self._server.driver.update()
 
     def data_received(self, data: bytes) -> None:
-        """Serve the commands that are complete; close the connection if it is not RESP2 or too long."""
+        """Serve all complete commands; close the connection on invalid RESP2 or too long a command."""
         now = self._clock.now()
         if not self._raw:
             self._first_byte_at = now
@@ -118,25 +120,25 @@
             self._serve_health_check(now, name)
         else:
             is_setup = name in (b"CLIENT", b"SELECT")
-            answer = b"+OK\r\n" if is_setup else b"-ERR unknown command\r\n"
-            self._replies.complete(self._replies.append(), answer)
+            response = b"+OK\r\n" if is_setup else b"-ERR unknown command\r\n"
+            self._replies.complete(self._replies.append(), response)
 
     def _serve_health_check(self, now: float, name: bytes) -> None:
-        core = self._server.core
+        model = self._server.model
         reply = self._replies.append()
-        answer = PONG if name == b"PING" else encode_bulk_string(core.load_report(now))
-        if not core.config.probes:
+        response = PONG if name == b"PING" else encode_bulk_string(model.load_report(now))
+        if not model.config.probes:
             self._replies.complete(reply, PONG if name == b"PING" else b"-NOPERM no probes\r\n")
             return
 
         def on_reply(data: bytes, _reply_type: ReplyType) -> None:
-            """The node has served the health check, or rejected it with `data`."""
-            self._replies.complete(reply, data or answer)
+            """Reply to the health check; `data` is not empty if the node rejected it."""
+            self._replies.complete(reply, data or response)
 
         reply.request = NodeRequest(
             self._proxy, b"", b"", {}, is_write=False, work=0, reply=on_reply, is_health_check=True
         )
-        core.submit_health_check(now, reply.request)
+        model.submit_health_check(now, reply.request)
         self._server.driver.update()
 
     def _serve_request(self, now: float, is_write: bool, arguments: list[bytes], raw: bytes) -> None:
@@ -152,13 +154,13 @@
             self._replies.complete(reply, b"-SYNTAX " + str(error).encode() + b"\r\n")
             return
         _, key, request_id, *_ = arguments
-        name = server.core.name
+        name = server.model.name
         reply.attempt = server.rule_checker.on_command_received(
             now, self._first_byte_at, self._proxy, name, request_id, raw
         )
 
         def on_reply(data: bytes, reply_type: ReplyType) -> None:
-            """The node has served the request or rejected it."""
+            """Pass on the reply, which may be a rejection."""
             reply.reply_type = reply_type
             self._replies.complete(reply, data)
 
@@ -170,8 +172,8 @@
             self._requests.call_after_delay(partial(self._submit, reply), handshake_remaining)
 
     def _submit(self, reply: PendingReply) -> None:
-        if reply.request and reply in self._replies and self._server.core.up:
-            self._server.core.submit(self._clock.now(), reply.request)
+        if reply.request and reply in self._replies and self._server.model.is_up:
+            self._server.model.submit(self._clock.now(), reply.request)
             self._server.driver.update()
 
     def _write(self, reply: PendingReply) -> None:
@@ -185,16 +187,16 @@
         self.transport.write(data)
 
     def _corrupt_and_record(self, reply: PendingReply, data: bytes) -> bytes:
-        """Tell the rule checker of a reply to a client's request. Returns the bytes to write."""
+        """Report a reply to the rule checker. Returns the bytes to write, which a fault may corrupt."""
         server = self._server
         assert reply.request
         assert reply.attempt
         reply_type = reply.reply_type
         value = _read_value(data) if reply_type is ReplyType.HIT else b""
         if server.corruption:
-            corrupted = server.corruption.apply(data)
-            data = corrupted.data
-            if corrupted.is_unreadable:
+            sent_reply = server.corruption.apply(data)
+            data = sent_reply.data
+            if sent_reply.is_unreadable:
                 reply_type = ReplyType.CORRUPTED
                 server.rule_checker.counts["spoilt"] += 1
         server.rule_checker.on_server_reply(
@@ -204,6 +206,6 @@
 
 
 def _read_value(data: bytes) -> bytes:
-    """The first bulk string of an array."""
+    """Return the first bulk string of an array."""
     _, length, rest = data.split(b"\r\n", 2)
     return rest[: int(length[1:])]
--- a/lupinladder/emulator/cache_node_server.py
+++ b/lupinladder/emulator/cache_node_server.py
@@ -14,7 +14,7 @@
 from lupinladder.emulator.sockets import FaultyListener, NetworkPath, reset_all
 
 WorkSampler = Callable[[dict[bytes, bytes]], float]
-"""Draws the work of a command by its labels, in ms; UnknownClassError for a class that does not exist."""
+"""Draws the work of a command in ms from its labels. Raises UnknownClassError for an unknown class."""
 
 
 class CacheNodeServer:
@@ -23,23 +23,23 @@
     def __init__(
         self,
         clock: Clock,
-        core: CacheNode,
+        model: CacheNode,
         rule_checker: RuleChecker,
         draw_work: WorkSampler,
         paths: Sequence[NetworkPath],
         sockets: Sequence[socket.socket] | None = None,
         round_trip_ms: Callable[[int], float] = lambda _proxy: 0.0,
     ) -> None:
-        """`paths`, `sockets` (taken over from another node) and `round_trip_ms` are by proxy."""
+        """`paths` and `sockets` (taken over from an ended node) are indexed by proxy."""
         self.clock = clock
-        self.core = core
+        self.model = model
         self.rule_checker = rule_checker
         self.draw_work = draw_work
         self.paths = paths
         self.round_trip_ms = round_trip_ms
-        self.driver = ModelDriver(clock, core)
+        self.driver = ModelDriver(clock, model)
         self.connections: set[CacheNodeConnection] = set()
-        self.corruption: ResponseCorruption | None = None  # faults set it
+        self.corruption: ResponseCorruption | None = None  # set by faults
         self.is_unresponsive = False
         self.on_overload_crash: Callable[[], None] = lambda: None
         self.listeners = [
@@ -50,38 +50,38 @@
         ]
 
     def open(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         for listener in self.listeners:
             listener.open()
 
     def crash(self) -> None:
-        """The process dies: connections are reset and new ones refused."""
+        """End the process: open connections are reset and new ones refused."""
         for listener in self.listeners:
             listener.close()
         self._end_process()
 
     def crash_from_overload(self) -> None:
-        """The node was sent too much while it was warming up. It stays down."""
+        """End the process because the node was overloaded while it was warming up. It does not restart."""
         self.crash()
         self.on_overload_crash()
 
-    def crash_and_hand_over(self) -> list[socket.socket]:
-        """As `crash`, but the listening sockets stay open, for another node. Returns them by proxy."""
-        sockets = [listener.hand_over() for listener in self.listeners]
+    def crash_and_keep_sockets(self) -> list[socket.socket]:
+        """End the process but keep its listening sockets open for another node. Returns them by proxy."""
+        sockets = [listener.detach_socket() for listener in self.listeners]
         self._end_process()
         return sockets
 
     def _end_process(self) -> None:
-        self.core.up = False
+        self.model.is_up = False
         self.reset_connections()
         self.driver.stop()
 
     def reset_connections(self) -> None:
-        """Reset all connections; the process runs on."""
+        """Reset all connections; the process continues to run."""
         reset_all(self.connections)
 
     def stop_responding(self) -> None:
-        """The machine is cut off: open connections stay open and silent, new ones do not come up."""
+        """Isolate the machine: open connections get no replies, and new ones are not established."""
         self.is_unresponsive = True
         for listener in self.listeners:
             listener.stop_responding()
--- a/lupinladder/emulator/discovery_server.py
+++ b/lupinladder/emulator/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery on real sockets: polls of the list and watches, with one listener for each proxy."""
+"""Discovery on real sockets: polls of the endpoint list and watches, with one listener for each proxy."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from lupinladder.emulator.scenario import DiscoveryConfig
 from lupinladder.emulator.sockets import FaultyListener, reset_all
 
-COUNTS_AS_KNOWN_AFTER_MS = 6000.0  # after which a proxy has to know of a change, sent to it or not
+ASSUMED_KNOWN_AFTER_MS = 6000.0  # a proxy has to know a change after this time, whether or not it was sent
 
 
 class DiscoveryServer:
-    """Serves requests one after another; a watch is sent every change as soon as it is noticed."""
+    """Serves requests one at a time, and sends each change to all watches as soon as discovery detects it."""
 
     def __init__(
         self,
         clock: Clock,
-        core: EndpointList,
+        endpoint_list: EndpointList,
         rule_checker: RuleChecker,
         proxy_count: int,
         addresses: Callable[[int], dict[str, str]],
         config: DiscoveryConfig,
     ) -> None:
-        """`addresses` gives the servers' addresses, by name, as one proxy reaches them."""
+        """`addresses` returns the servers' addresses by name, as the given proxy reaches them."""
         self.clock = clock
-        self.core = core
+        self.endpoint_list = endpoint_list
         self.rule_checker = rule_checker
         self.addresses = addresses
         self.keepalive_interval_s = config.empty_s
-        self.driver = ModelDriver(clock, core, self._on_advanced)
+        self.driver = ModelDriver(clock, endpoint_list, self._on_advanced)
         self.connections: set[DiscoveryConnection] = set()
-        self.is_down = False  # new connections are reset
+        self.is_down = False  # while it is set, new connections are reset
         self._proxy_count = proxy_count
         self._seconds_per_request = 1 / config.capacity
         self._max_wait_s = config.timeout_s
         self._busy_until_s = 0.0
-        self._index_sent = 0
+        self._sent_index = 0
         self.listeners = self._new_listeners()
 
     def _new_listeners(self) -> list[FaultyListener]:
@@ -50,13 +50,13 @@
         ]
 
     def open(self) -> None:
-        """Start to accept connections."""
-        self._index_sent = self.core.index
+        """Start accepting connections."""
+        self._sent_index = self.endpoint_list.index
         for listener in self.listeners:
             listener.open()
 
-    def reserve_turn(self) -> float | None:
-        """Seconds until a request that comes now is answered; None if it would wait too long."""
+    def enqueue_request(self) -> float | None:
+        """Queue a request that arrives now. Returns its waiting time in seconds; None if that is too long."""
         now_s = self.clock.now() / 1000
         self._busy_until_s = max(self._busy_until_s, now_s) + self._seconds_per_request
         if self._busy_until_s - now_s > self._max_wait_s:
@@ -65,35 +65,35 @@
         return self._busy_until_s - now_s
 
     def _on_advanced(self) -> None:
-        if self.core.index == self._index_sent:
+        if self.endpoint_list.index == self._sent_index:
             return
-        changes = self.core.since(self._index_sent)
-        self._index_sent = self.core.index
+        changes = self.endpoint_list.changes_since(self._sent_index)
+        self._sent_index = self.endpoint_list.index
         for entry in changes.entries:
             if entry.status != EndpointStatus.ACTIVE:
-                self._count_as_known_later(entry)
+                self._assume_known_later(entry)
         for connection in list(self.connections):
             connection.on_list_changed()
 
-    def _count_as_known_later(self, entry: ListedEndpoint) -> None:
-        """Some seconds on, a drain or an end counts as known to all proxies, sent to them or not."""
-        when = self.clock.now() + COUNTS_AS_KNOWN_AFTER_MS
-        self.clock.at(when, partial(self._count_as_known, entry))
+    def _assume_known_later(self, entry: ListedEndpoint) -> None:
+        """Schedule when all proxies have to know that a server drains or was removed."""
+        when = self.clock.now() + ASSUMED_KNOWN_AFTER_MS
+        self.clock.at(when, partial(self._assume_known, entry))
 
-    def _count_as_known(self, entry: ListedEndpoint) -> None:
-        known = self.core.entries.get(entry.name)
-        if known is not None and known.status == EndpointStatus.ACTIVE:
+    def _assume_known(self, entry: ListedEndpoint) -> None:
+        current_entry = self.endpoint_list.entries.get(entry.name)
+        if current_entry is not None and current_entry.status == EndpointStatus.ACTIVE:
             return
         for proxy in range(self._proxy_count):
             self.rule_checker.on_status_sent(self.clock.now(), proxy, entry.name, entry.status)
 
     def go_down(self) -> None:
-        """Reset all connections, and new ones until `is_down` is cleared."""
+        """Reset all connections, and any new connection until `is_down` is cleared."""
         self.is_down = True
         reset_all(self.connections)
 
     def move(self, linger_s: float) -> None:
-        """Move to other addresses. The old ones refuse, and their connections are closed after `linger_s`."""
+        """Move to new addresses. The old ones refuse connections; open connections close after `linger_s`."""
         old_listeners = self.listeners
         old_connections = list(self.connections)
         self.listeners = self._new_listeners()
@@ -103,7 +103,7 @@
             listener.close()
 
         def close_old_connections() -> None:
-            """Close what was connected to the old addresses."""
+            """Close the connections to the old addresses."""
             for connection in old_connections:
                 if connection.transport:
                     connection.transport.close()
@@ -111,7 +111,7 @@
         self.clock.loop.call_later(linger_s, close_old_connections)
 
     def close(self) -> None:
-        """End discovery for good."""
+        """Close all listeners and connections permanently."""
         for listener in self.listeners:
             listener.close()
         self.go_down()
--- a/lupinladder/emulator/origin_server.py
+++ b/lupinladder/emulator/origin_server.py
@@ -19,40 +19,40 @@
     def __init__(
         self,
         clock: Clock,
-        core: OriginModel,
+        model: OriginModel,
         rule_checker: RuleChecker,
         paths: Sequence[NetworkPath],
         missed_at_warming_node: Callable[[bytes], bool] = lambda _request_id: False,
         overload_window_ms: float = 3000.0,
     ) -> None:
-        """`missed_at_warming_node`: whether a miss at a node that warms up began the fetch of a request."""
+        """`missed_at_warming_node` returns whether a fetch follows a miss at a node that is warming up."""
         self.clock = clock
-        self.core = core
+        self.model = model
         self.rule_checker = rule_checker
         self.paths = paths
-        self.driver = ModelDriver(clock, core)
+        self.driver = ModelDriver(clock, model)
         self.connections: set[OriginConnection] = set()
-        self.sends_interim_responses = False  # faults change it
+        self.sends_interim_responses = False  # set by faults
         self._missed_at_warming_node = missed_at_warming_node
         self._overload_window_ms = overload_window_ms
-        self._stops_seen = 0
+        self._stops_handled = 0
         self.listeners = [
             FaultyListener(clock, partial(OriginConnection, self, proxy)) for proxy in range(len(paths))
         ]
 
     def open(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         for listener in self.listeners:
             listener.open()
 
     def submit(self, request: NodeRequest) -> None:
-        """A whole request has arrived. If it makes the origin stop, all connections are reset."""
+        """Submit a complete request. If its load makes the origin stop, all connections are reset."""
         now = self.clock.now()
-        self.core.submit(now, request)
+        self.model.submit(now, request)
         is_from_warming_node = not request.is_write and self._missed_at_warming_node(request.request_id)
         self.rule_checker.on_origin_load(now, request.work, is_from_warming_node, self._overload_window_ms)
-        if self.core.stops > self._stops_seen:
-            self._stops_seen = self.core.stops
+        if self.model.stops > self._stops_handled:
+            self._stops_handled = self.model.stops
             self.rule_checker.origin_stopped(now)
             reset_all(self.connections)
         self.driver.update()
--- a/lupinladder/emulator/response_corruption.py
+++ b/lupinladder/emulator/response_corruption.py
@@ -8,37 +8,37 @@
 import numpy as np
 
 HUGE_LENGTH = b"*3\r\n$3000000000\r\n"
-UNREADABLE = frozenset({"noise", "endless", "length", "huge"})  # no value can be read from these
+UNREADABLE_CORRUPTIONS = frozenset({"noise", "endless", "length", "huge"})  # without a readable value
 
 
 @dataclass(frozen=True, slots=True)
-class CorruptedReply:
-    """A reply as it is sent."""
+class SentReply:
+    """A reply as it is sent, corrupted or unchanged."""
 
     data: bytes
-    corruption: str = ""  # one of scenario.CORRUPTIONS; empty if the reply is as it was
+    corruption: str = ""  # one of scenario.CORRUPTIONS; empty if the reply is unchanged
 
     @property
     def is_unreadable(self) -> bool:
-        """Whether a proxy cannot read a value from it."""
-        return self.corruption in UNREADABLE
+        """Whether a proxy cannot read a value from the reply."""
+        return self.corruption in UNREADABLE_CORRUPTIONS
 
 
 class ResponseCorruption:
-    """Corrupts a share of the replies, each in one way of `corruptions` (names of scenario.CORRUPTIONS)."""
+    """Corrupts a share of the replies, each by a random one of `corruptions` (from scenario.CORRUPTIONS)."""
 
     def __init__(self, rng: np.random.Generator, corruptions: Sequence[str], share: float) -> None:
         self._rng = rng
         self._corruptions = list(corruptions)
         self._share = share
 
-    def apply(self, reply: bytes) -> CorruptedReply:
-        """The reply as it is sent, corrupted or not."""
+    def apply(self, reply: bytes) -> SentReply:
+        """Return the reply to send, corrupted or unchanged."""
         if self._rng.random() >= self._share:
-            return CorruptedReply(reply)
+            return SentReply(reply)
         corruption = str(self._rng.choice(self._corruptions))
         noise = self._rng.bytes(64).replace(b"\n", b"x")
-        return CorruptedReply(_corrupt(reply, corruption, noise), corruption)
+        return SentReply(_corrupt(reply, corruption, noise), corruption)
 
 
 def _corrupt(reply: bytes, corruption: str, noise: bytes) -> bytes:
@@ -50,6 +50,6 @@
         "copy": reply + reply,
         "trailing": reply + noise,
         "report": reply.replace(b"inflight=", b"infl\x00ght=\xff"),
-        "interim": reply,  # the origin sends the interim responses
+        "interim": reply,  # unchanged: only the origin sends interim responses
     }
     return variants[corruption]
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -14,12 +14,12 @@
 
 import uvloop
 
-from lupinladder.emulator.clock import Clock, Lateness
+from lupinladder.emulator.clock import Clock, EventLoopLagMonitor
 from lupinladder.emulator.cluster import Cluster
 from lupinladder.emulator.endpoint_list import ListedEndpoint
 from lupinladder.emulator.faults import FaultInjector
 from lupinladder.emulator.managed_proxy import Managed
-from lupinladder.emulator.peers import Peers
+from lupinladder.emulator.peers import PeerRelays
 from lupinladder.emulator.proxies import Proxies
 from lupinladder.emulator.proxy_selector import ProxySelector
 from lupinladder.emulator.rule_checker import RuleChecker
@@ -58,8 +58,8 @@
     cluster: Cluster
     clients: RunClients
     faults: FaultInjector
-    _peers: Peers
-    _lateness: Lateness
+    _peers: PeerRelays
+    _lateness: EventLoopLagMonitor
     _start: float  # of the counted part, ms
 
     def __init__(self, scenario: Scenario, folder: Path, observer: Observer | None = None) -> None:
@@ -116,7 +116,7 @@
         zones = [proxy.zone for proxy in self.proxies.all]
         self.cluster = Cluster(clock, scenario, keys, self.rule_checker, zones)
         peer_addresses = [proxy.peer_listen for proxy in self.proxies.all]
-        self._peers = Peers(clock, scenario.net, random_stream(scenario.seed, "peers"), peer_addresses)
+        self._peers = PeerRelays(clock, scenario.net, random_stream(scenario.seed, "peers"), peer_addresses)
 
     async def _start_proxies(self) -> None:
         starts = [self.proxies.start(proxy) for proxy in self.proxies.all]
@@ -136,7 +136,7 @@
         return {
             "discovery": self.cluster.discovery.listeners[proxy.number].address,
             "peers": self._peers.addresses(proxy.number),
-            "peers_all": self._peers.to_all(proxy.number),
+            "peers_all": self._peers.broadcast_address(proxy.number),
             "known": {**json.loads(text), "index": index},
         }
 
@@ -157,13 +157,13 @@
         _suspend_garbage_collection()
         self._start = self.clock.now() + self.scenario.lead_s * 1000 + START_MARGIN_MS
         self.rule_checker.log.start = self._start
-        self._lateness = Lateness(self.clock)
+        self._lateness = EventLoopLagMonitor(self.clock)
         selector = ProxySelector([proxy.zone for proxy in self.proxies.all])
         self.clients = RunClients(
             self.clock, self.scenario, self.rule_checker, self.proxies.all, selector, self._start
         )
         self.faults = FaultInjector(self.cluster, self.proxies, selector, self._start)
-        self.faults.plan(self.scenario.faults)
+        self.faults.schedule(self.scenario.faults)
         snapshots = self.clock.loop.create_task(self._take_snapshots())
         await self.clients.play(arrivals)
         await self.faults.finish()
@@ -177,10 +177,10 @@
             now = self.clock.now()
             at = (now - self._start) / 1000
             nodes = {
-                name: (node.core.queue.held, node.core.queue.warmth(now))
+                name: (node.model.queue.job_count, node.model.queue.warmth(now))
                 for name, node in self.cluster.nodes.items()
             }
-            origin_held = self.cluster.origin.core.queue.held
+            origin_held = self.cluster.origin.model.queue.job_count
             self._snapshots.append(Snapshot(round(at, 2), nodes, origin_held, self.clients.open_requests))
             self.proxies.look(self._start)
             gc.collect(1)  # the young objects alone: what a request leaves behind
@@ -211,7 +211,7 @@
             late_worst=max(self._lateness.lags, default=0.0),
             late_begin=begun_late[int(len(begun_late) * 0.99)] if begun_late else 0.0,
             void=self._void_reason(late_share),
-            origin_stops=self.cluster.origin.core.stops,
+            origin_stops=self.cluster.origin.model.stops,
             rates=self.rule_checker.log.rates,
             misbehaving_owed=self.clients.misbehaving.reactions_owed,
             misbehaving_unpaid=self.clients.misbehaving.reactions_missing,
--- a/tests/emulator/model_test_case.py
+++ b/tests/emulator/model_test_case.py
@@ -1,4 +1,4 @@
-"""A cluster of server models without sockets, for the tests of each."""
+"""The base class of tests of the server models, which run without sockets."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
         self.scenario.fleet.speed = (1.0, 1.0)
         self.keys = KeyDistribution(1, self.scenario.clients)
         self.shared_data = SharedData(self.keys, lambda: 10_000.0)
-        self.replies: list[tuple[str, str, bytes]] = []  # request id, reply_type, bytes
+        self.replies: list[tuple[str, str, bytes]] = []  # request id, reply type, bytes
 
-    def node(self, name: str = "s1", starts_empty: bool = False, **more: Any) -> CacheNode:
-        for setting, value in more.items():
+    def node(self, name: str = "s1", starts_empty: bool = False, **settings: Any) -> CacheNode:
+        for setting, value in settings.items():
             setattr(self.scenario.fleet, setting, value)
         node = CacheNode(
             0, name, 0, self.scenario.fleet, self.shared_data, np.random.default_rng(1), starts_empty
@@ -34,8 +34,8 @@
         self.shared_data.nodes[name] = node
         return node
 
-    def origin(self, capacity: float = 20, **more: Any) -> OriginModel:
-        for setting, value in more.items():
+    def origin(self, capacity: float = 20, **settings: Any) -> OriginModel:
+        for setting, value in settings.items():
             setattr(self.scenario.origin, setting, value)
         return OriginModel(0, self.scenario.origin, capacity, self.shared_data, np.random.default_rng(1))
 
@@ -52,10 +52,10 @@
             lambda data, reply_type: self.replies.append((request_id, reply_type, data)),
         )
 
-    def finish_all(self, core: CacheNode | OriginModel, now: float) -> float:
-        while core.next_wakeup() < inf:
-            now = max(now, core.next_wakeup())
-            core.advance(now)
+    def finish_all(self, model: CacheNode | OriginModel, now: float) -> float:
+        while model.next_wakeup() < inf:
+            now = max(now, model.next_wakeup())
+            model.advance(now)
         return now
 
     def reply_types(self) -> list[tuple[str, str]]:
