--- a/lupinladder/emulator/__init__.py
+++ b/lupinladder/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""The emulator: servers on loopback that behave as those of a cluster, clients, faults and a rule checker.
+"""The emulator: servers on loopback that act as a cluster, clients, injected faults and a rule checker.
 
-docs/emulator.md describes it. The proxy never imports this package: its libraries come with the extra
-`lupinladder[lab]`.
+docs/emulator.md describes it. The proxy must not import this package: the libraries that it needs are
+installed only with the extra `lupinladder[lab]`.
 """
--- a/lupinladder/emulator/effect_checker.py
+++ b/lupinladder/emulator/effect_checker.py
@@ -1,4 +1,5 @@
-"""The rule on effects: nothing is repeated that may have been executed, unless its class allows it."""
+"""Checks the rule on effects: a command that may have been executed is not sent again, unless its class
+allows it."""
 
 from __future__ import annotations
 
@@ -8,16 +9,17 @@
 
 
 class EffectChecker:
-    """Checks each attempt against the earlier ones, and each rejection against all of them."""
+    """Checks each attempt against the earlier attempts of its request, and each rejection against all of
+    them."""
 
     def __init__(self, log: ViolationLog, classes: list[RequestClassConfig], slack_ms: float) -> None:
-        """`slack_ms` is by how much every time limit is longer on sockets."""
+        """`slack_ms` is added to each time limit, as times are measured at the sockets."""
         self._log = log
         self._classes = classes
         self._slack_ms = slack_ms
 
     def check_attempt(self, now: float, request: ObservedRequest, attempt: ObservedAttempt) -> None:
-        """Check an attempt that is not yet among those of the request."""
+        """Check a new attempt; the caller adds it to the attempts of the request afterwards."""
         outcome = request.outcome
         has_own_limit = outcome in (RequestOutcome.EXCUSED, RequestOutcome.LEFT)
         is_finished = outcome is not None and not has_own_limit
@@ -34,19 +36,20 @@
         if request_class.repeat == "safe":
             return
         if request_class.repeat == "unsafe":
-            description = f"sent to {attempt.server} though it may have run at {earlier.server}"
+            description = f"sent to {attempt.server} although it may have run at {earlier.server}"
             self._report(now, request, description, attempt)
         elif attempt.at > earlier.at + request_class.window_ms + self._slack_ms:
-            description = f"sent again {attempt.at - earlier.at:.0f} ms after its first sending"
+            description = f"sent again {attempt.at - earlier.at:.0f} ms after its first attempt"
             self._report(now, request, description, attempt)
 
     def check_rejection(self, now: float, request: ObservedRequest) -> None:
-        """A rejection says that nothing was executed, so that a client may repeat what is not idempotent."""
+        """Check a rejection. It promises that nothing was executed, so a client may repeat the request even
+        if it is not idempotent."""
         if self._classes[request.class_index].repeat != "unsafe":
             return
         attempt = request.first_attempt_with_effect()
         if attempt is not None:
-            self._report(now, request, f"refused though it may have run at {attempt.server}", attempt)
+            self._report(now, request, f"rejected although it may have run at {attempt.server}", attempt)
 
     def _report(
         self, now: float, request: ObservedRequest, description: str, attempt: ObservedAttempt
--- a/lupinladder/emulator/observed_proxy.py
+++ b/lupinladder/emulator/observed_proxy.py
@@ -1,4 +1,5 @@
-"""What the rule checker records of a proxy: its process, and what discovery has told it of servers."""
+"""What the rule checker records about a proxy: its process, and the states of servers that discovery sent
+to it."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 
 @dataclass(slots=True)
 class Pause:
-    """A span in which the emulator had stopped the proxy's process (SIGSTOP). Times in ms."""
+    """A period in which the proxy's process was suspended by SIGSTOP. Times are in ms."""
 
     begin: float
     end: float = inf
@@ -16,17 +17,18 @@
 
 @dataclass(slots=True)
 class ObservedProxy:
-    """One proxy over all its starts. Times in ms."""
+    """One proxy over all its starts. Times are in ms."""
 
     start_count: int = 0
     is_up: bool = False
     stopping_since: float | None = None  # when SIGTERM was sent
     pauses: list[Pause] = field(default_factory=list)
-    draining_since: dict[str, float] = field(default_factory=dict)  # server: when the proxy was first told
-    listed_since: dict[str, float] = field(default_factory=dict)  # server: when the proxy was first told
+    # For each server, when discovery first notified the proxy of the state.
+    draining_since: dict[str, float] = field(default_factory=dict)
+    listed_since: dict[str, float] = field(default_factory=dict)
 
     def on_started(self) -> None:
-        """A new process is up: it knows nothing but what its configuration says."""
+        """A new process has started: discovery has sent nothing to it yet."""
         self.start_count += 1
         self.is_up = True
         self.stopping_since = None
@@ -42,23 +44,24 @@
         self.pauses[-1].end = now
 
     def was_paused_between(self, begin: float, end: float) -> bool:
-        """Whether the process was stopped at some time of the span."""
+        """Whether the process was suspended at any time of the period."""
         return any(pause.begin <= end and begin <= pause.end for pause in self.pauses)
 
     def is_running_start(self, start: int) -> bool:
-        """Whether the process of this start still runs."""
+        """Whether the process of this start is still running."""
         return self.is_up and self.start_count == start
 
     def on_server_active(self, server: str, now: float) -> None:
-        """Discovery has told the proxy that the server takes requests."""
+        """Discovery has notified the proxy that the server accepts requests."""
         self.draining_since.pop(server, None)
         self.listed_since.setdefault(server, now)
 
     def on_server_draining(self, server: str, now: float) -> None:
-        """Discovery has told the proxy that the server leaves or has left; only the first time counts."""
+        """Discovery has notified the proxy that the server is draining or removed; only the first notice
+        counts."""
         self.draining_since.setdefault(server, now)
 
     def on_full_list(self, servers: set[str], now: float) -> None:
-        """Discovery has sent a full list: each server that is missing from it has left."""
+        """Discovery has sent a full list: each server that is missing from it is removed."""
         for server in set(self.listed_since) - servers:
             self.on_server_draining(server, now)
--- a/lupinladder/emulator/plot.py
+++ b/lupinladder/emulator/plot.py
@@ -1,4 +1,5 @@
-"""Plots of reports: outcomes, latency and the load of servers over time, with marks where faults happen."""
+"""Plots of reports: outcomes, latency and load of servers over time, with a line at the start of each
+fault."""
 
 from __future__ import annotations
 
@@ -32,7 +33,7 @@
 
 
 def draw(tree: dict[str, Any], path: Path) -> None:
-    """Write the plot of one report; the ending of the path says in which format."""
+    """Write the plot of one report; the suffix of the path selects the format."""
     figure, (outcomes, latency, nodes, held) = plt.subplots(
         4, 1, figsize=(10, 11), sharex=True, height_ratios=(3, 3, 3, 2), layout="constrained"
     )
@@ -54,14 +55,14 @@
 
 def _draw_outcomes(axes: Axes, tree: dict[str, Any]) -> None:
     times = [*(second["at_s"] for second in tree["timeline"]), tree["seconds"]]
-    seconds = [*tree["timeline"], tree["timeline"][-1]]  # a step lasts until the next one begins
+    seconds = [*tree["timeline"], tree["timeline"][-1]]  # a step lasts until the next one starts
     counts = {
         outcome: [second["outcomes"].get(outcome, 0) for second in seconds] for outcome in OUTCOME_COLOURS
     }
     shown = {outcome: values for outcome, values in counts.items() if any(values)}
     colours = [OUTCOME_COLOURS[outcome] for outcome in shown]
     axes.stackplot(times, *shown.values(), labels=list(shown), colors=colours, step="post")
-    axes.set_ylabel("requests a second")
+    axes.set_ylabel("requests per second")
     axes.legend(loc="lower left", fontsize=8, ncols=6)
 
 
@@ -77,7 +78,7 @@
     axes.set_yscale("log")
     axes.yaxis.set_major_formatter(ScalarFormatter())
     axes.yaxis.set_minor_formatter(NullFormatter())
-    axes.set_ylabel("latency of served, ms")
+    axes.set_ylabel("latency of served requests, ms")
     axes.legend(loc="upper left", fontsize=8, ncols=3)
 
 
@@ -93,7 +94,7 @@
         line = [(at, held) for at, held, _ in own]
         colour = WARMING_NODE_COLOUR if was_warming else WARM_NODE_COLOUR
         axes.plot(*zip(*line, strict=True), linewidth=0.9, color=colour)
-    axes.set_ylabel("held by each node\n(started cold: orange)")
+    axes.set_ylabel("requests held per node\n(started cold: orange)")
 
 
 def _draw_held(axes: Axes, tree: dict[str, Any]) -> None:
@@ -108,7 +109,7 @@
 
 
 def _draw_marks(axes: Axes, tree: dict[str, Any], with_names: bool) -> None:
-    """A line where each fault begins; those marks stand in brackets."""
+    """Draw a line at the start of each fault; the descriptions of these events are in brackets."""
     for at, what in tree["marks"]:
         if not what.startswith("["):
             continue
@@ -125,14 +126,14 @@
 
 
 def draw_restart_recovery(tree: dict[str, Any], killed: float, path: Path) -> None:
-    """Write the plot of many runs: the share in time and the rates of what proxies do, second by second.
+    """Write the plot of several runs: the share in time and the rates of events over all proxies, per second.
 
     `killed` is the second at which the proxies were killed.
     """
     runs = [run for run in tree["runs"] if not run["void"]] or tree["runs"]
     series = {"weight in time": [run["in_time_by_second"] for run in runs]}
     for name in runs[0]["by_second"]:
-        series[name + " a second"] = [run["by_second"][name] for run in runs]
+        series[name + " per second"] = [run["by_second"][name] for run in runs]
     figure, panels = plt.subplots(
         len(series),
         1,
@@ -147,14 +148,14 @@
         axes.set_ylabel(name, fontsize=8)
         axes.set_ylim(bottom=0)
         axes.spines[["top", "right"]].set_visible(False)
-    panels[-1].set_xlabel("seconds; the line is the kill, thick is the median of the runs")
+    panels[-1].set_xlabel("seconds; dashed line: kill, thick line: median of the runs")
     figure.suptitle(tree["about"], fontsize=10)
     figure.savefig(path, dpi=DOTS_PER_INCH)
     plt.close(figure)
 
 
 def _draw_runs(axes: Axes, lines: Sequence[Sequence[float]]) -> None:
-    """A thin line for each run and a thick one for their median."""
+    """Draw a thin line for each run and a thick line for their median."""
     for line in lines:
         axes.step(range(len(line)), line, where="post", linewidth=0.7, color=SINGLE_RUN_COLOUR)
     median = [sorted(values)[len(values) // 2] for values in zip(*lines, strict=True)]
--- a/lupinladder/emulator/proxy_alarms.py
+++ b/lupinladder/emulator/proxy_alarms.py
@@ -1,5 +1,8 @@
-"""What proxies themselves report as defects, read off their logs after a run. No proxy is trusted to be
-right: the rule checker judges by the sockets, and this adds what it cannot see there."""
+"""Finds the defects that proxies report in their logs during a run.
+
+The rule checker observes the sockets alone and trusts no proxy; the logs add the defects that do not show
+there.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,13 @@
     r"lupinladder: (invariant_violated|internal_error|callback_failed|request_overdue|store_failed) (.*)"
 )
 CRASH = re.compile(r"^(Traceback|Fatal Python error|lupinladder: \[Errno)")
-# A proxy that is stopped by SIGSTOP answers late: nobody else is to blame.
+# A proxy that was suspended by SIGSTOP answers late through no fault of its own.
 EXCUSED_WHILE_STOPPED = ("answered_in_time", "request_overdue")
 
 
 def read_alarms(logs: Iterable[Path], stops_processes: bool) -> list[str]:
-    """The lines that tell of a defect, each with its log's name; `stops_processes` excuses late answers."""
+    """Return the lines that report a defect, each with its log's name. `stops_processes` says that the run
+    suspended proxies, so late answers are excused."""
     alarms = list[str]()
     for path in logs:
         if not path.exists():
--- a/lupinladder/emulator/report.py
+++ b/lupinladder/emulator/report.py
@@ -1,4 +1,4 @@
-"""What a run came to, as plain data for a report in JSON. docs/emulator.md describes its keys."""
+"""The report of a run as plain data for JSON. docs/emulator.md describes its keys."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from lupinladder.emulator.scenario import RequestClassConfig, Scenario
 
 SCHEMA = 1
-MAX_VIOLATIONS = 200  # that a report lists; it counts all
+MAX_VIOLATIONS = 200  # maximum number that a report lists; it counts all
 
 
 class ExitCode(IntEnum):
-    """How the commands that play scenarios end. Bad input ends them with 2."""
+    """Exit codes of the commands that play scenarios. The exit code for invalid input is 2."""
 
     RULES_KEPT = 0
     RULE_BROKEN = 1
@@ -34,7 +34,7 @@
 
 
 class Phase(NamedTuple):
-    """A span between two changes of a scenario. Times in seconds of the counted part."""
+    """The part of a run between two changes of load or faults. Times are in seconds of the counted part."""
 
     name: str
     begin: float
@@ -42,7 +42,7 @@
 
 
 def figures(outcome: RunResult) -> dict[str, Any]:
-    """The whole report."""
+    """Return the whole report."""
     scenario = outcome.scenario
     class_reports = _class_reports(outcome.results, scenario.classes)
     return {
@@ -115,7 +115,7 @@
 
 
 def _phases(scenario: Scenario) -> list[Phase]:
-    """The spans between the starts of faults and the phases of load."""
+    """Split the run at the starts of faults and of load phases."""
     names = {0.0: "start"}
     names |= {step.at: f"{step.rate:g}/s" for step in scenario.load}
     names |= {fault.at: fault.kind for fault in scenario.faults}
@@ -172,7 +172,7 @@
 
 
 def exit_code(tree: dict[str, Any]) -> ExitCode:
-    """The exit code for a report."""
+    """Return the exit code for a report."""
     if tree["void"]:
         return ExitCode.VOID
     return ExitCode.RULES_KEPT if tree["kept"] else ExitCode.RULE_BROKEN
--- a/lupinladder/emulator/report_comparison.py
+++ b/lupinladder/emulator/report_comparison.py
@@ -1,4 +1,4 @@
-"""The comparison of reports from before and after a change."""
+"""Compares reports from before and after a change."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class ComparedFigure(NamedTuple):
-    """A figure of a report: where it stands in it, and how it is shown."""
+    """A figure of a report: its path in the report and how it is shown."""
 
     name: str
     path: tuple[str, ...]
-    factor: int = 1  # from the report's unit to the one shown
+    factor: int = 1  # converts the report's unit to the unit shown
     unit: str = ""
 
 
@@ -28,7 +28,7 @@
 
 
 class Comparison(TypedDict):
-    """Medians and ranges of one figure on both sides, as written in JSON."""
+    """Median and range of one figure before and after, as written in JSON."""
 
     figure: str
     unit: str
@@ -36,11 +36,11 @@
     before_range: list[float]
     after: float
     after_range: list[float]
-    clear: bool  # the ranges of the repeats do not meet; never so with one run a side
+    clear: bool  # the ranges do not overlap, and each side has at least two runs
 
 
 def compare(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> list[Comparison]:
-    """Compare the reports of two sides, figure by figure; those missing from a side are left out."""
+    """Compare two sets of reports, figure by figure; figures that one set lacks are left out."""
     comparisons = []
     for figure in COMPARED_FIGURES:
         before_values = _values(before, figure)
--- a/lupinladder/emulator/report_table.py
+++ b/lupinladder/emulator/report_table.py
@@ -1,4 +1,4 @@
-"""Reports and their comparison as tables for a terminal."""
+"""Shows reports and comparisons as tables on a terminal."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 MAX_VIOLATIONS_SHOWN = 10
 RULE_DESCRIPTIONS = {
     Rule.ONE_ANSWER: "one final answer to each request, in time",
-    Rule.NO_DUPLICATE_EFFECT: "nothing repeated that may have been executed",
-    Rule.DRAIN: "no new requests 1.5 s after notice that a server leaves",
-    Rule.NO_OVERLOAD: "no server that warms up, nor the origin, overloaded",
+    Rule.NO_DUPLICATE_EFFECT: "nothing sent again that may have been executed",
+    Rule.DRAIN: "no new requests from 1.5 s after notice that a server is draining",
+    Rule.NO_OVERLOAD: "neither a warming server nor the origin overloaded",
 }
 
 
 def show(tree: dict[str, Any]) -> RenderableType:
-    """A report as tables, ending with the verdict on the rules."""
+    """Return a report as tables, followed by the verdict on the rules."""
     parts: list[RenderableType] = [_class_table(tree), _phase_table(tree), Text(_summary(tree))]
     sent = sum(tree["hostile"]["owed"].values())
     if sent:
@@ -84,7 +84,7 @@
 
 
 def verdict(tree: dict[str, Any]) -> Text:
-    """The four rules, one line each, the first violations, and whether the run counts."""
+    """Return one line for each of the four rules, the first violations, and whether the run is valid."""
     text = Text()
     for rule, description in RULE_DESCRIPTIONS.items():
         count = tree["rules"][rule]
@@ -98,7 +98,7 @@
     if len(tree["broken"]) > MAX_VIOLATIONS_SHOWN:
         text.append(f"  and {len(tree['broken']) - MAX_VIOLATIONS_SHOWN} more, in the report\n", "red")
     if tree["void"]:
-        text.append(f"VOID: {tree['void']}; it says nothing of the proxies", "bold yellow")
+        text.append(f"VOID: {tree['void']}; the run says nothing about the proxies", "bold yellow")
     elif tree["kept"]:
         text.append("All four rules kept.", "bold green")
     else:
@@ -107,7 +107,7 @@
 
 
 def show_compared(comparisons: list[Comparison]) -> Table:
-    """A comparison of reports as a table, one row a figure."""
+    """Return a comparison of reports as a table with one row per figure."""
     table = Table()
     for name in ("figure", "before", "range", "after", "range", "change", ""):
         table.add_column(name, justify="left" if name in ("figure", "") else "right")
--- a/lupinladder/emulator/restart_recovery.py
+++ b/lupinladder/emulator/restart_recovery.py
@@ -1,7 +1,7 @@
-"""Most proxies killed at once and started together: how long until all is as before, and what it cost.
+"""Restart recovery: many proxies are killed and restarted at once, and the time to full service is measured.
 
-Here are the scenario and the measurements. They come from clients' results and from what reached servers,
-discovery and the origin; nothing is taken from what a proxy says of itself.
+The module builds the scenario and the report. All figures come from clients' results and from what servers,
+discovery and the origin received; nothing that a proxy reports about itself is used.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from lupinladder.emulator.scenario import FaultConfig, LoadPhase, ProxiesConfig, Scenario
 
 StoreCondition = Literal["none", "kept", "lost", "torn", "flipped", "swapped", "old"]
-"""What becomes of the stores of killed proxies; none: they never had one."""
+"""What happens to the stores of killed proxies; none: they have no store."""
 
 DiscoveryCondition = Literal["up", "late", "down"]
 """How discovery works around the kill."""
 
 SECONDS = 17.0  # length of a run
-KILLED_S = 6.0  # when the proxies are killed
-AWAY_S = 1.2  # until they are started again
-BASELINE_BEGIN_S = 2.0  # from here until the kill is what is normal
-FULL_SERVICE_MARGIN = 0.02  # by which the share in time may be below the normal one
-FULL_SERVICE_S = 2.0  # for which it must be there
-STEP_S = 0.1  # in which the share in time is measured
+KILLED_S = 6.0  # time at which the proxies are killed
+AWAY_S = 1.2  # time from the kill until they are started again
+BASELINE_BEGIN_S = 2.0  # the time from here to the kill is the baseline
+FULL_SERVICE_MARGIN = 0.02  # by which the share in time may be below the baseline
+FULL_SERVICE_S = 2.0  # time over which the share must reach this level
+STEP_S = 0.1  # resolution of the share in time
 STEPS_PER_S = 10
-REQUESTS_PER_S = 12.5  # to each proxy
+REQUESTS_PER_S = 12.5  # for each proxy
 RATES = ("fetches", "calls for the list", "connects", "sends to cold nodes")
 LOST_AND_LATE = ("late", "refused", "failed", "unanswered")
 
@@ -39,10 +39,11 @@
 def scenario(
     proxies: int, kill: float, store: StoreCondition, discovery: DiscoveryCondition, seed: int
 ) -> Scenario:
-    """The scenario in which a share `kill` of the proxies is killed.
+    """Return the scenario in which a share `kill` of the proxies is killed.
 
-    With a store the configurations name nothing but the origin, as after a stop of days; without one they
-    name the endpoints as the run began: a proxy that knows no endpoint has nobody to send to.
+    With a store, the configurations name the origin alone, as if the proxies had been down for days.
+    Without a store they name the endpoints of the start of the run: a proxy without endpoints can send no
+    request.
     """
     has_store = store != "none"
     faults = [FaultConfig("kill-many", KILLED_S, AWAY_S, kill, how=store if has_store else "")]
@@ -57,7 +58,7 @@
 def _discovery_faults(discovery: DiscoveryCondition) -> list[FaultConfig]:
     if discovery == "down":
         return [FaultConfig("list-down", KILLED_S - 0.5, 5.0)]
-    if discovery == "late":  # and nodes are replaced at used addresses while most proxies are away
+    if discovery == "late":  # meanwhile nodes are also replaced at their old addresses
         return [
             FaultConfig("late-list", KILLED_S - 3, 8.0, size=1.5),
             FaultConfig("deploy", KILLED_S - 1, 5.0, part=0.25, batch=0.09, drain_s=3.0, reuse=True),
@@ -66,7 +67,7 @@
 
 
 class WeightByStep:
-    """The priority weight requested, and that answered in time, by steps of STEP_S of the intended time."""
+    """The priority weight requested and answered in time, for each step of STEP_S of the intended time."""
 
     def __init__(self, results: Sequence[Result], played: Scenario) -> None:
         steps = round(played.seconds / STEP_S)
@@ -85,13 +86,16 @@
         return len(self._requested)
 
     def share(self, begin: int, end: int) -> float:
-        """The share in time over these steps; 0 without requests."""
+        """Return the share in time over the steps from `begin` up to `end`; 0 without requests."""
         return sum(self._in_time[begin:end]) / max(sum(self._requested[begin:end]), 1e-9)
 
 
 def full_after(results: Sequence[Result], made: Scenario, killed: float = KILLED_S) -> float | None:
-    """Seconds from the kill to full service: the first moment from which on the share of weight in time over
-    FULL_SERVICE_S is within FULL_SERVICE_MARGIN of the share before. None if that did not come."""
+    """Return the seconds from the kill to full service, or None if full service was not reached.
+
+    Full service starts at the first step from which the share of weight in time over FULL_SERVICE_S is at
+    most FULL_SERVICE_MARGIN below the baseline.
+    """
     weight = WeightByStep(results, made)
     kill_step = round(killed / STEP_S)
     span = round(FULL_SERVICE_S / STEP_S)
@@ -103,8 +107,8 @@
 
 
 def highest(rate: Counter[int], begin: float, end: float) -> int:
-    """The most within one second that lies in the span (s); `rate` counts by tenths of a second, and the
-    second may begin at each of them."""
+    """Return the highest count within one second between `begin` and `end` (s). `rate` counts per tenth of
+    a second, and the second may start at any of them."""
     first = round(begin * STEPS_PER_S)
     last = round(end * STEPS_PER_S)
     begins = range(first, max(last - STEPS_PER_S + 1, first + 1))
@@ -116,7 +120,7 @@
 
 
 def figures(outcome: RunResult) -> dict[str, Any]:
-    """One run as plain data."""
+    """Return the report on one run as plain data."""
     played = outcome.scenario
     tree = report.figures(outcome)
     rates = {name: outcome.rates.get(name, Counter()) for name in RATES}
@@ -152,7 +156,7 @@
 
 
 def summary(rows: Sequence[dict[str, Any]]) -> dict[str, Any]:
-    """Over the seeds that say something: median and worst time to full service, and the highest seconds."""
+    """Summarize the valid runs: median and worst time to full service, outcomes, and the highest rates."""
     valid = [row for row in rows if not row["void"]]
     times = [SECONDS - KILLED_S if row["full_after_s"] is None else row["full_after_s"] for row in valid]
     return {
@@ -176,12 +180,12 @@
 
 
 def full_report(about: str, rows: Sequence[dict[str, Any]]) -> dict[str, Any]:
-    """The report over the runs of all seeds."""
+    """Return the report on the runs of all seeds."""
     return {"schema": report.SCHEMA, "about": about, "summary": summary(rows), "runs": list(rows)}
 
 
 def exit_code(tree: dict[str, Any]) -> report.ExitCode:
-    """The exit code for a summary: as of `emulator run`; void if no run says anything."""
+    """Return the exit code for a summary, as for `emulator run`: void if all runs are void."""
     if not tree["kept"]:
         return report.ExitCode.RULE_BROKEN
     return report.ExitCode.VOID if tree["void"] == tree["runs"] else report.ExitCode.RULES_KEPT
--- a/lupinladder/emulator/restart_recovery_table.py
+++ b/lupinladder/emulator/restart_recovery_table.py
@@ -1,4 +1,4 @@
-"""The report on restart recovery as a table for a terminal."""
+"""Shows the report on restart recovery as a table on a terminal."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def show(tree: dict[str, Any]) -> Table:
-    """The summary over all runs, one row a figure."""
+    """Return the summary of all runs as a table with one row per figure."""
     summary = tree["summary"]
     table = Table(title=tree["about"])
     table.add_column("figure")
--- a/lupinladder/emulator/result_statistics.py
+++ b/lupinladder/emulator/result_statistics.py
@@ -18,20 +18,20 @@
 
 
 def outcome_of(result: Result, request_class: RequestClassConfig) -> str:
-    """One of OUTCOMES: an answer beyond the class's latency objective is late, not served."""
+    """Return one of OUTCOMES: an answer after the class's latency objective is late, not served."""
     if result.outcome == "served" and result.latency > request_class.latency_objective_ms:
         return "late"
     return result.outcome
 
 
 def count_outcomes(results: Sequence[Result], classes: Sequence[RequestClassConfig]) -> dict[str, int]:
-    """How often each outcome happened; those that never did are missing."""
+    """Return how often each outcome happened; outcomes that never happened are left out."""
     return dict(Counter(outcome_of(result, classes[result.request_class]) for result in results))
 
 
 def latency_percentiles(results: Sequence[Result]) -> dict[str, float]:
-    """Percentiles and maximum (ms) over the served, from the intended time of each request; empty if none was
-    served."""
+    """Return percentiles and the maximum (ms) of the latency of served requests, measured from the intended
+    time of each; empty if none was served."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for result in results:
         if result.outcome == "served":
@@ -45,7 +45,8 @@
 
 
 def share_in_time(results: Sequence[Result], classes: Sequence[RequestClassConfig]) -> float:
-    """The priority weight answered within its latency objective over that requested; 1 without requests."""
+    """Return the share of the requested priority weight that was answered within its latency objective; 1
+    without requests."""
     requested = sum(classes[result.request_class].priority_weight for result in results)
     in_time = sum(
         classes[result.request_class].priority_weight
@@ -58,7 +59,8 @@
 def worst_share_in_time(
     results: Sequence[Result], classes: Sequence[RequestClassConfig], seconds: float
 ) -> float:
-    """The lowest share over WORST_SPAN_S that begins at a full second, or over a run that is shorter."""
+    """Return the lowest share in time over any WORST_SPAN_S that start at a full second; a shorter run is
+    one span."""
     requested: dict[int, float] = defaultdict(float)
     in_time: dict[int, float] = defaultdict(float)
     for result in results:
@@ -78,7 +80,7 @@
 
 
 def by_second(results: Sequence[Result], seconds: float) -> list[tuple[int, list[Result]]]:
-    """The results of each full second of the intended time; a run shorter than a second has one."""
+    """Return the results by full second of their intended time; a run shorter than a second has one entry."""
     found: dict[int, list[Result]] = defaultdict(list)
     for result in results:
         found[int(result.at)].append(result)
--- a/lupinladder/emulator/rule_checker.py
+++ b/lupinladder/emulator/rule_checker.py
@@ -1,9 +1,10 @@
-"""The rule checker: compares what was seen on the sockets of both sides with the operators' four rules.
+"""The rule checker: compares the traffic observed on both sides of the proxies with the operators' four
+rules.
 
-It does no I/O and uses nothing that a proxy says of itself: it is told what clients wrote and read, what
-cache nodes and the origin received and answered, and what discovery wrote to which proxy. Every time is in
-ms on one clock, the emulator's, and taken where the bytes were read or written; PROTOCOL, "The rules on
-sockets", grants 50 ms beyond each limit.
+It does no I/O and uses nothing that a proxy reports about itself. The emulator reports to it what clients
+wrote and read, what cache nodes and the origin received and replied, and what discovery wrote to each
+proxy. All times are in ms of the emulator's clock, taken where the bytes were read or written; PROTOCOL,
+"The rules on sockets", allows 50 ms beyond each limit.
 """
 
 from __future__ import annotations
@@ -24,25 +25,25 @@
 from lupinladder.emulator.rule_violation import Rule, RuleViolation, ViolationLog
 from lupinladder.emulator.scenario import RequestClassConfig
 
-SLACK = 50.0  # ms by which every time limit is longer on sockets
-GRACE = 20.0  # ms beyond the client's deadline within which a reply is in time
-DRAIN_GRACE_MS = 1500.0  # after discovery's word, for requests to a server that leaves
-SHUTDOWN_GRACE_MS = 700.0  # after SIGTERM, for which requests that arrive must still be answered
-CLIENT_LEFT_GRACE_MS = 100.0  # after a close, within which an attempt may still begin
-TOLD_DEADLINE_SLACK_MS = 150.0  # by which the deadline that a server is told may be too long
-TOLD_DEADLINE = re.compile(rb"c=[!-~]*?,d=([0-9]+)")  # among the labels of a command
-SWEEP_MARGIN_MS = 100.0  # beyond the last moment for a reply, until a request counts as unanswered
-FINISHED_KEPT_MS = 20_000.0  # for which a finished request is remembered
+SLACK = 50.0  # ms added to each time limit, as times are measured at the sockets
+GRACE = 20.0  # ms after the client's deadline within which an answer is still in time
+DRAIN_GRACE_MS = 1500.0  # grace period after discovery has sent that a server is draining
+SHUTDOWN_GRACE_MS = 700.0  # a request that arrives within this time after SIGTERM must still be answered
+CLIENT_LEFT_GRACE_MS = 100.0  # after its client disconnects, an attempt may still be sent this long
+TOLD_DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may exceed the remaining time
+TOLD_DEADLINE = re.compile(rb"c=[!-~]*?,d=([0-9]+)")  # the label d of a command
+SWEEP_MARGIN_MS = 100.0  # further time for an answer until a request counts as unanswered
+FINISHED_KEPT_MS = 20_000.0  # how long a finished request is kept
 
 
 class RuleChecker:
-    """Told of everything in the order of time: `now` of each call never goes back."""
+    """Receives every observation in the order of time: `now` never decreases from call to call."""
 
     def __init__(
         self, classes: list[RequestClassConfig], proxies: int, start: float, unanswered: str = "lost"
     ) -> None:
-        """`start` is when the counted part begins; `unanswered` is "lost" if a request without an answer
-        breaks a rule, and "failed" if it does not."""
+        """`start` is the start of the counted part in ms. `unanswered` is "lost" if a request without an
+        answer breaks a rule, and "failed" if it does not."""
         self.log = ViolationLog(start)
         self._must_answer = unanswered == "lost"
         self._requests: OrderedDict[bytes, ObservedRequest] = OrderedDict()
@@ -53,34 +54,35 @@
 
     @property
     def violations(self) -> list[RuleViolation]:
-        """What was found, in order."""
+        """The violations in the order of detection."""
         return self.log.violations
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters of the report."""
+        """The counters of the report."""
         return self.log.counts
 
     def count_rate(self, what: str, now: float) -> None:
-        """Count an event that all proxies together must not cause too often."""
+        """Count an event; its rate over all proxies is reported."""
         self.log.count_rate(what, now)
 
     # Processes of the proxies
 
     def proxy_up(self, now: float, proxy: int) -> None:
         """The proxy answered PING after a start."""
-        del now  # each observation comes with its time; this one leaves none
+        del now  # every observation passes its time; this one does not need it
         self._proxies[proxy].on_started()
 
     def proxy_killed(self, now: float, proxy: int) -> None:
-        """The emulator killed the proxy: the requests it held are excused."""
+        """The emulator killed the proxy: the requests that it held are excused."""
         self._proxies[proxy].is_up = False
         for request in self._requests.values():
             if request.outcome is None and request.proxy == proxy:
                 request.end(RequestOutcome.EXCUSED, now)
 
     def proxy_frozen(self, now: float, proxy: int) -> None:
-        """The emulator sent SIGSTOP. Requests open meanwhile are excused; no other rule is."""
+        """The emulator sent SIGSTOP. No answer is due in time for requests that are open meanwhile; all
+        other rules apply."""
         self._proxies[proxy].on_paused(now)
 
     def proxy_thawed(self, now: float, proxy: int) -> None:
@@ -92,7 +94,7 @@
         self._proxies[proxy].stopping_since = now
 
     def proxy_ended(self, now: float, proxy: int) -> None:
-        """The proxy ended after SIGTERM. What it had received in time and not answered is lost."""
+        """The proxy ended after SIGTERM. Requests that it received in time and did not answer are lost."""
         observed = self._proxies[proxy]
         observed.is_up = False
         stopping_since = observed.stopping_since or now
@@ -103,11 +105,11 @@
                 continue
             request.end(RequestOutcome.EXCUSED, now)
             if request.sent_at <= stopping_since + SHUTDOWN_GRACE_MS:
-                self._report_lost(now, request, "the proxy ended without answering it")
+                self._report_lost(now, request, "the proxy ended before it answered")
 
     def proxy_died(self, now: float, proxy: int, code: int) -> None:
-        """The proxy ended though it was not told to, or with another exit code than 0."""
-        self.log.add(Rule.ONE_ANSWER, now, proxy, b"", f"the proxy ended with {code}")
+        """The proxy ended unexpectedly, or with an exit code other than 0."""
+        self.log.add(Rule.ONE_ANSWER, now, proxy, b"", f"the proxy ended with exit code {code}")
         self.proxy_killed(now, proxy)
 
     # Connections of clients
@@ -115,7 +117,8 @@
     def on_request_sent(
         self, now: float, proxy: int, ident: bytes, kind: int, wait: float, raw: bytes
     ) -> None:
-        """A client has written the last byte of a command of class `kind`; its deadline is `wait` ms away."""
+        """A client has written the last byte of a command of request class `kind`; its deadline is in
+        `wait` ms."""
         start = self._proxies[proxy].start_count
         request = ObservedRequest(ident, kind, now + wait, proxy, start, raw, now)
         self._requests[ident] = request
@@ -123,21 +126,23 @@
         self.counts["taken"] += 1
 
     def on_request_resent(self, now: float, ident: bytes) -> None:
-        """The connection was closed between commands, and the client sends this one on a new connection."""
+        """The proxy closed the connection while the client sent the command; the client sends it again on a
+        new connection."""
         self.counts["crossed_a_close"] += 1
         request = self._requests.get(ident)
         if request and request.attempts and self._proxies[request.proxy].is_up:
-            description = "its connection was ended without an answer, though it had been read and sent on"
+            description = "its connection was closed without an answer, although it had been forwarded"
             self._report_lost(now, request, description)
 
     def on_resend_refused(self, now: float, ident: bytes) -> None:
-        """The new connection for a command that crossed a close was refused: nobody has taken it."""
+        """The new connection for a command that crossed a close was refused, so no proxy has received the
+        command."""
         request = self._requests.get(ident)
         if request and request.outcome is None:
             request.end(RequestOutcome.EXCUSED, now)
 
     def on_answer(self, now: float, ident: bytes, answer: str, value: bytes, raw: bytes) -> None:
-        """A client has read a complete answer, `answer` being served, refused or failed."""
+        """A client has read a complete answer; `answer` is served, refused or failed."""
         request = self._requests.get(ident)
         if request is None or request.outcome in (RequestOutcome.ABANDONED, RequestOutcome.LEFT):
             return
@@ -149,12 +154,12 @@
         self.counts[outcome.value] += 1
         self._check_in_time(now, request, raw)
         if outcome is RequestOutcome.SERVED and value not in request.values:
-            self._report_lost(now, request, "served what no server made for it", raw)
+            self._report_lost(now, request, "served a value that no server returned for it", raw)
         if outcome is RequestOutcome.REJECTED:
             self._effects.check_rejection(now, request)
 
     def on_connection_ended(self, now: float, ident: bytes, part: bytes) -> None:
-        """The proxy ended the connection; `part` is what it had written of the answer."""
+        """The proxy closed the connection; `part` is the part of the answer that it had written."""
         request = self._requests.get(ident)
         if request is None or request.outcome is not None:
             return
@@ -165,27 +170,29 @@
             request.end(RequestOutcome.EXCUSED, now)
         else:
             request.end(RequestOutcome.FAILED, now)
-            self._report_lost(now, request, "its connection was ended without an answer")
+            self._report_lost(now, request, "its connection was closed without an answer")
 
     def on_client_gave_up(self, now: float, ident: bytes) -> None:
-        """The client has given up and closed its connection. An answer that comes now reaches nobody."""
+        """The client has given up and closed its connection. A later answer cannot reach it."""
         request = self._requests.get(ident)
         if request and request.outcome is None:
             self._end_unanswered(now, request)
 
     def on_client_left(self, now: float, ident: bytes) -> None:
-        """The client has closed its connection before its time: nothing is owed, and nothing may begin."""
+        """The client has disconnected before it had to give up: no answer is due, and no attempt may
+        start."""
         request = self._requests.get(ident)
         if request and request.outcome is None:
             request.end(RequestOutcome.LEFT, now)
             self.counts["left"] += 1
 
     def on_unexpected_bytes(self, now: float, proxy: int, last: bytes, raw: bytes) -> None:
-        """A client has read bytes on a connection without an open request; `last` is the last one's id."""
-        self.log.add(Rule.ONE_ANSWER, now, proxy, last, "bytes that no request was owed", raw)
+        """A client has read bytes on a connection without an open request; `last` is the id of its last
+        request."""
+        self.log.add(Rule.ONE_ANSWER, now, proxy, last, "bytes without an open request", raw)
 
     def _was_under_way(self, now: float, request: ObservedRequest) -> bool:
-        """Whether an answer that is read now had been written before the proxy was killed."""
+        """Whether an answer that is read now may have been written before the proxy was killed."""
         return request.outcome is RequestOutcome.EXCUSED and now <= request.ended_at + SLACK
 
     def _check_in_time(self, now: float, request: ObservedRequest, raw: bytes) -> None:
@@ -208,7 +215,7 @@
     def _report_lost(
         self, now: float, request: ObservedRequest, description: str, raw: bytes | None = None
     ) -> None:
-        """Record a violation; the bytes shown are those of the request unless others are given."""
+        """Record a violation. It shows the bytes `raw`, or those of the request if `raw` is None."""
         data = request.raw if raw is None else raw
         self.log.add(Rule.ONE_ANSWER, now, request.proxy, request.request_id, description, data)
 
@@ -217,13 +224,14 @@
     def on_command_received(
         self, now: float, first: float, proxy: int, server: str, ident: bytes, raw: bytes
     ) -> ObservedAttempt:
-        """A complete command has reached a cache node or the origin; `first` is when its first byte did."""
+        """A complete command has reached a cache node or the origin; `first` is the time of its first
+        byte."""
         attempt = ObservedAttempt(first, server, raw)
         self.counts["executions"] += 1
         self._check_drain(now, proxy, ident, attempt)
         request = self._requests.get(ident)
         if request is None:
-            description = f"sent to {server} though no client asked it"
+            description = f"sent to {server} although no client requested it"
             self.log.add(Rule.NO_DUPLICATE_EFFECT, now, proxy, ident, description, raw)
             return attempt
         self._check_client_is_there(now, request, attempt)
@@ -237,7 +245,7 @@
             return
         since_left = now - request.ended_at
         if since_left > CLIENT_LEFT_GRACE_MS + SLACK:
-            description = f"sent to {attempt.server} {since_left:.0f} ms after its client had left"
+            description = f"sent to {attempt.server} {since_left:.0f} ms after its client disconnected"
             self._report_lost(now, request, description, attempt.raw)
 
     def _check_told_deadline(self, now: float, request: ObservedRequest, attempt: ObservedAttempt) -> None:
@@ -246,35 +254,35 @@
             return
         time_left = max(request.deadline - now, 0.0)
         if int(told[1]) > time_left + TOLD_DEADLINE_SLACK_MS + SLACK:
-            description = f"tells {attempt.server} {int(told[1])} ms, {time_left:.0f} are left"
+            description = f"deadline {int(told[1])} ms sent to {attempt.server}, {time_left:.0f} remaining"
             self._report_lost(now, request, description, attempt.raw)
 
     def on_server_reply(
         self, now: float, ident: bytes, attempt: ObservedAttempt, word: str, value: bytes = b""
     ) -> None:
-        """A server has written its answer: hit, value, receipt (these with the value), miss, pending, busy
-        or failed."""
-        del now  # each observation comes with its time; this one leaves none
+        """A server has written its reply: hit, value or receipt (with the value), miss, pending, busy or
+        failed."""
+        del now  # every observation passes its time; this one does not need it
         attempt.on_reply(word)
         request = self._requests.get(ident)
         if request and attempt.state is AttemptState.EXECUTED:
             request.values.add(value)
 
     def on_server_connection_lost(self, attempt: ObservedAttempt) -> None:
-        """The connection to the server ended: without an answer the command may have been executed."""
+        """The connection to the server ended: if it sent no reply, the command may have been executed."""
         attempt.on_connection_lost()
 
     def _check_drain(self, now: float, proxy: int, request_id: bytes, attempt: ObservedAttempt) -> None:
         draining_since = self._proxies[proxy].draining_since.get(attempt.server)
         if draining_since is not None and attempt.at > draining_since + DRAIN_GRACE_MS + SLACK:
             late = attempt.at - draining_since
-            description = f"sent to {attempt.server} {late:.0f} ms after word of its end"
+            description = f"sent to {attempt.server} {late:.0f} ms after notice that it is draining"
             self.log.add(Rule.DRAIN, now, proxy, request_id, description, attempt.raw)
 
     # Discovery
 
     def on_status_sent(self, now: float, proxy: int, server: str, status: str) -> None:
-        """Discovery has written this status to the proxy, or has had the time to do so."""
+        """Discovery has written the status of a server to the proxy, or has had time to write it."""
         if status == "active":
             self._proxies[proxy].on_server_active(server, now)
         else:
@@ -284,27 +292,27 @@
         """Discovery has written a full list to the proxy."""
         self._proxies[proxy].on_full_list(servers, now)
 
-    # Load of servers
+    # Load on servers
 
     def on_server_started(
         self, now: float, server: str, warm_ms: float, capacity: Callable[[float], float]
     ) -> None:
-        """A server has started with an empty cache; `capacity(now)` is in ms of work a ms."""
+        """A server has started with an empty cache; `capacity(now)` is in ms of work per ms."""
         self._overload.on_server_started(now, server, warm_ms, capacity)
 
     def is_warming_up(self, now: float, server: str) -> bool:
-        """Whether the server still warms up."""
+        """Whether the server is still warming up."""
         return self._overload.is_warming_up(now, server)
 
     def on_server_load(self, now: float, proxy: int, server: str, work: float) -> bool:
-        """Work (ms) has reached a server, also if it was rejected. True if the server warms up and fails
-        under it."""
+        """Work (ms) has reached a server, even if the server rejected it. Return True if the server is
+        warming up and fails under the load."""
         is_informed = proxy >= 0 and server in self._proxies[proxy].listed_since
         return self._overload.on_server_load(now, proxy, server, work, is_informed)
 
     def on_origin_load(self, now: float, work: float, cold_miss: bool, span: float) -> None:
-        """Work (ms) has reached the origin; `cold_miss` if a miss at a server that warms up made it; `span`
-        is the time in ms over which the origin's load is measured."""
+        """Work (ms) has reached the origin. `cold_miss` says that a miss at a server that is warming up
+        caused it; `span` is the time in ms over which the origin's load is measured."""
         self._overload.on_origin_load(now, work, cold_miss, span)
 
     def origin_stopped(self, now: float) -> None:
@@ -314,7 +322,7 @@
     # Time
 
     def sweep(self, now: float) -> None:
-        """End the requests whose time has run out, and forget those that ended long ago."""
+        """End the requests that were not answered in time, and drop those that ended long ago."""
         while self._open_requests and self._open_requests[0].outcome is not None:
             self._open_requests.popleft()
         for request in self._open_requests:
--- a/lupinladder/emulator/rule_violation.py
+++ b/lupinladder/emulator/rule_violation.py
@@ -1,4 +1,4 @@
-"""The operators' four rules, and the log of how they were broken and of what was counted meanwhile."""
+"""The operators' four rules, and the log of a run: violations, counters and rates."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_SHOWN_BYTES = 240  # of a command or a reply in the text of a violation
-RATE_STEP_MS = 100  # rates are counted by tenths of a second
-NO_PROXY = -1  # a violation that no single proxy is to blame for
+MAX_SHOWN_BYTES = 240  # bytes of a command or reply shown in the text of a violation
+RATE_STEP_MS = 100  # events of rates are counted per tenth of a second
+NO_PROXY = -1  # for a violation that is not due to a single proxy
 
 
 class Rule(StrEnum):
@@ -18,13 +18,13 @@
     """Each request gets one final answer, in time."""
 
     NO_DUPLICATE_EFFECT = "effect"
-    """Nothing is repeated that may have been executed."""
+    """A command that may have been executed is not sent again, unless its class allows it."""
 
     DRAIN = "drain"
-    """A server that leaves gets no new requests after the grace period."""
+    """A server that is draining gets no new requests after the grace period."""
 
     NO_OVERLOAD = "cold"
-    """No server that warms up, and not the origin, is overloaded."""
+    """Neither a server that is warming up nor the origin is overloaded."""
 
 
 @dataclass(slots=True)
@@ -32,11 +32,11 @@
     """One case in which a proxy broke a rule."""
 
     rule: Rule
-    at: float  # seconds from the start of the counted part
+    at: float  # seconds since the start of the counted part
     proxy: int
     request_id: str
     description: str
-    data: str  # the bytes of the command or reply, printable
+    data: str  # the bytes of the command or reply, in printable form
 
     def __str__(self) -> str:
         place = f"{self.at:8.3f} s  {self.rule:<6} proxy {self.proxy}  request {self.request_id or '-'}"
@@ -44,14 +44,15 @@
 
 
 class ViolationLog:
-    """The violations of a run in order, its counters, and the rates of what proxies do together."""
+    """The violations of a run in order, its counters, and the rates of events over all proxies."""
 
     def __init__(self, start: float) -> None:
-        """`start` is when the counted part of the run begins, in ms of the emulator's clock."""
+        """`start` is the start of the counted part of the run, in ms of the emulator's clock."""
         self.start = start
         self.violations: list[RuleViolation] = []
         self.counts: Counter[str] = Counter()
-        self.rates: dict[str, Counter[int]] = {}  # event: how often it happened, by steps of RATE_STEP_MS
+        # For each event, how often it happened in each step of RATE_STEP_MS.
+        self.rates: dict[str, Counter[int]] = {}
 
     def add(
         self, rule: Rule, now: float, proxy: int, request_id: bytes, description: str, data: bytes = b""
@@ -65,7 +66,7 @@
         self.violations.append(violation)
 
     def count_rate(self, event: str, now: float) -> None:
-        """Count an event whose rate over all proxies is reported."""
+        """Count an event; its rate over all proxies is reported."""
         self.rates.setdefault(event, Counter())[int((now - self.start) // RATE_STEP_MS)] += 1
 
 
@@ -74,5 +75,5 @@
         return ""
     text = repr(data[:MAX_SHOWN_BYTES])[1:]
     if len(data) > MAX_SHOWN_BYTES:
-        text += f" and {len(data) - MAX_SHOWN_BYTES} bytes more"
+        text += f" and {len(data) - MAX_SHOWN_BYTES} more bytes"
     return text
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -1,4 +1,5 @@
-"""One run of a scenario: starts servers and proxies, plays load and faults, ends everything, and reports."""
+"""Runs a scenario: starts servers and proxies, plays load and faults, stops everything and returns the
+result."""
 
 from __future__ import annotations
 
@@ -29,28 +30,28 @@
 from lupinladder.emulator.workload import Arrival, ArrivalPlan, KeyDistribution, random_stream
 from lupinladder.errors import LupinladderError
 
-LATE_MS = 30.0  # by which the emulator itself may be late
-MAX_LATE_SHARE = 0.01  # of the time for which it may be later than that, else the run is void
+LATE_MS = 30.0  # the emulator counts as late above this delay
+MAX_LATE_SHARE = 0.01  # a run in which the emulator was late for a larger share of the time is void
 LATE_MESSAGE = "the emulator itself ran over {:.0f} ms late for {:.1%} of the time"
-MAX_FAULTS_SHOWN = 3  # of the emulator's own, in the reason why a run is void
+MAX_FAULTS_SHOWN = 3  # maximum number of the emulator's own errors in the reason why a run is void
 
-START_MARGIN_MS = 100.0  # between the preparations and the first request
+START_MARGIN_MS = 100.0  # time from the end of the preparations to the first request
 SNAPSHOT_INTERVAL_S = 0.5
 
 
 class RunInterruptedError(LupinladderError):
-    """A signal ended the run before its time."""
+    """A signal stopped the run before its end."""
 
     def __init__(self) -> None:
         super().__init__("stopped before its end")
 
 
 Observer = Callable[[float, "Run"], None]
-"""Called at each snapshot with the second of the counted part, for a live view."""
+"""Called at each snapshot with the seconds since the start of the counted part, for a live view."""
 
 
 class Run:
-    """Servers, proxies and clients of one run. Its attributes exist while it plays."""
+    """Servers, proxies and clients of one run. The annotated attributes are set while the run plays."""
 
     clock: Clock
     rule_checker: RuleChecker
@@ -60,21 +61,21 @@
     faults: FaultInjector
     _peers: Peers
     _lateness: Lateness
-    _start: float  # of the counted part, ms
+    _start: float  # start of the counted part, ms
 
     def __init__(self, scenario: Scenario, folder: Path, observer: Observer | None = None) -> None:
-        """`folder` is for configurations, logs and stores of the proxies."""
+        """`folder` holds the configurations, logs and stores of the proxies."""
         self.scenario = scenario
         self._folder = folder
         self._observer = observer
         self._snapshots: list[Snapshot] = []
         self._first_index = 0
-        self._first_endpoints: list[ListedEndpoint] = []  # the list as the run began
+        self._first_endpoints: list[ListedEndpoint] = []  # the endpoints at the start of the run
 
     async def play(self) -> RunResult:
-        """Until the end; SIGTERM or Ctrl-C raise RunInterruptedError. No proxy is left behind.
+        """Play the scenario to its end, and stop all proxies in any case.
 
-        ProxyStartError if a proxy does not start.
+        Raises RunInterruptedError on SIGTERM or Ctrl-C, and ProxyStartError if a proxy does not start.
         """
         try:
             with _cancelled_by_signals():
@@ -130,7 +131,7 @@
         self._peers.close()
 
     def _proxy_config(self, proxy: Managed) -> dict[str, Any]:
-        """The part of a proxy's configuration that depends on the cluster and on the other proxies."""
+        """Return the part of a proxy's configuration that depends on the cluster and on the other proxies."""
         index, endpoints = self._known_endpoints()
         text = self.cluster.endpoints.text(True, endpoints, self.cluster.addresses(proxy.number))
         return {
@@ -141,7 +142,8 @@
         }
 
     def _known_endpoints(self) -> tuple[int, list[ListedEndpoint]]:
-        """The index and the endpoints that a configuration names, by the scenario's `proxies.known`."""
+        """Return the index and the endpoints of a proxy's configuration, as `proxies.known` of the scenario
+        says."""
         current = self.cluster.endpoints
         if not self._first_endpoints:
             self._first_index = current.index
@@ -150,7 +152,7 @@
             return current.index, list(current.entries.values())
         if self.scenario.proxies.known == "first":
             return self._first_index, self._first_endpoints
-        # Nothing but where the origin is, as after days without a proxy.
+        # The origin alone, as if the proxies had been down for days.
         return 0, [endpoint for endpoint in self._first_endpoints if endpoint.type == "origin"]
 
     async def _play_load(self, arrivals: list[Arrival]) -> None:
@@ -172,7 +174,8 @@
         self._lateness.stop()
 
     async def _take_snapshots(self) -> None:
-        """Note what is held where and what the processes use, and look for overdue answers."""
+        """Periodically record the load of servers and the resource usage of proxies, and check for overdue
+        answers."""
         while True:
             now = self.clock.now()
             at = (now - self._start) / 1000
@@ -183,14 +186,14 @@
             origin_held = self.cluster.origin.core.queue.held
             self._snapshots.append(Snapshot(round(at, 2), nodes, origin_held, self.clients.open_requests))
             self.proxies.look(self._start)
-            gc.collect(1)  # the young objects alone: what a request leaves behind
+            gc.collect(1)  # the young generations only: they hold the garbage of requests
             self.rule_checker.sweep(now)
             if self._observer:
                 self._observer(at, self)
             await asyncio.sleep(SNAPSHOT_INTERVAL_S)
 
     def _void_reason(self, late_share: float) -> str:
-        """Why the run says nothing of the proxies; empty if it does."""
+        """Return why the run is void; empty if it is valid."""
         if late_share > MAX_LATE_SHARE:
             return LATE_MESSAGE.format(LATE_MS, late_share)
         return "; ".join([*self.faults.errors, *self.clock.faults[:MAX_FAULTS_SHOWN]])
@@ -222,7 +225,7 @@
 
 @contextmanager
 def _cancelled_by_signals() -> Iterator[None]:
-    """SIGTERM and Ctrl-C cancel the current task."""
+    """Cancel the current task on SIGTERM and Ctrl-C."""
     task = asyncio.current_task()
     assert task
     loop = asyncio.get_running_loop()
@@ -237,7 +240,8 @@
 
 
 def _suspend_garbage_collection() -> None:
-    """A full collection stops the emulator for 70 ms and more, which would be blamed on the proxies."""
+    """Suspend full collections: each stalls the emulator for 70 ms or more, which would count against the
+    proxies."""
     gc.collect()
     gc.freeze()
     gc.disable()
@@ -246,7 +250,7 @@
 def play(scenario: Scenario, folder: Path | None = None, observer: Observer | None = None) -> RunResult:
     """Play a scenario to its end; without a folder, configurations and logs are removed afterwards.
 
-    ProxyStartError if a proxy does not start, RunInterruptedError if a signal ended the run.
+    Raises ProxyStartError if a proxy does not start, and RunInterruptedError if a signal stopped the run.
     """
     if folder is None:
         with tempfile.TemporaryDirectory(prefix="lupinladder-emulator-") as name:
--- a/lupinladder/emulator/run_result.py
+++ b/lupinladder/emulator/run_result.py
@@ -1,4 +1,4 @@
-"""What a run of a scenario leaves: results of requests, violations, counters and measurements."""
+"""The result of a run of a scenario: results of requests, violations, counters and measurements."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """The load of the servers at one moment, for tables and plots."""
+    """The load of the servers at one time, for tables and plots."""
 
-    at: float  # seconds from the start of the counted part
-    nodes: dict[str, tuple[int, float]]  # requests held, and the share of its full capacity that a node has
+    at: float  # seconds since the start of the counted part
+    nodes: dict[str, tuple[int, float]]  # for each node, requests held and the share of its full capacity
     origin_held: int
     open_requests: int
 
 
 @dataclass(slots=True)
 class RunResult:
-    """All that a run left."""
+    """The result of a run."""
 
     scenario: Scenario
     results: list[Result]
-    broken: list[RuleViolation]  # in the order they were found
+    broken: list[RuleViolation]  # in the order of detection
     counts: Counter[str]
     snapshots: list[Snapshot]
-    marks: list[tuple[float, str]]  # second and what happened, for people and plots
+    marks: list[tuple[float, str]]  # seconds since the start and a description, for the live view and plots
     proxies: list[Managed]
-    late_share: float  # of the time in which the emulator itself was late
-    late_worst: float  # ms
-    late_begin: float  # 99th percentile of how late requests were begun, ms
-    void: str  # why the run says nothing of the proxies; empty if it does
+    late_share: float  # share of the time in which the emulator itself was late
+    late_worst: float  # maximum lateness of the emulator in ms
+    late_begin: float  # 99th percentile of the delay with which requests were started, ms
+    void: str  # why the run is void; empty if it is valid
     origin_stops: int
-    rates: dict[str, Counter[int]] = field(default_factory=dict)  # by tenths of a second, over all proxies
+    rates: dict[str, Counter[int]] = field(default_factory=dict)  # per tenth of a second, over all proxies
     misbehaving_owed: Counter[str] = field(default_factory=Counter)  # clients sent, by kind
-    misbehaving_unpaid: Counter[str] = field(default_factory=Counter)  # of these without an error or a close
+    misbehaving_unpaid: Counter[str] = field(default_factory=Counter)  # of these, without error or close
     connections: int = 0
     logs: str = ""
--- a/lupinladder/emulator/scenario_constraints.py
+++ b/lupinladder/emulator/scenario_constraints.py
@@ -1,4 +1,4 @@
-"""What a scenario's values must hold, alone and together, beyond their types."""
+"""The constraints on a scenario's values, alone and in combination, beyond their types."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     from lupinladder.emulator.scenario import FaultConfig, RequestClassConfig, Scenario
 
 SCHEMA = 1
-MAX_SHARE_ERROR = 0.01  # by which the shares of classes may differ from 1 in sum
+MAX_SHARE_ERROR = 0.01  # by which the sum of the shares of classes may differ from 1
 
 STORES = ("kept", "lost", "torn", "flipped", "swapped", "old")
-"""What may become of the stores of killed proxies."""
+"""What can happen to the stores of killed proxies."""
 
 CORRUPTIONS = ("noise", "endless", "length", "huge", "copy", "trailing", "report", "interim")
-"""The ways to corrupt an answer."""
+"""The ways to corrupt a reply."""
 
 MISBEHAVIOURS = (
     "noise", "endless", "lengths", "huge", "big", "class", "deadline", "noid",
@@ -26,7 +26,7 @@
 
 
 def check_scenario(scenario: Scenario) -> None:
-    """Raise ConstraintError for the first value that cannot be used."""
+    """Raise ConstraintError for the first invalid value."""
     _require(
         scenario.schema == SCHEMA, "schema", f"this program reads schema {SCHEMA}, not {scenario.schema}"
     )
@@ -82,7 +82,7 @@
         is_safe_write = request_class.write and request_class.repeat == "safe"
         _require(not is_safe_write, f"{path}.repeat", "a write is keyed or unsafe, never safe to repeat")
         is_new = request_class.name not in names
-        _require(is_new, f"{path}.name", f"{request_class.name!r} is there already")
+        _require(is_new, f"{path}.name", f"{request_class.name!r} is used by an earlier class")
         names.add(request_class.name)
     total = sum(request_class.share for request_class in classes)
     _require(abs(total - 1) <= MAX_SHARE_ERROR, "classes", "expected shares that add up to 1")
@@ -98,7 +98,7 @@
 
 def _check_fault(path: str, fault: FaultConfig, scenario: Scenario) -> None:
     is_played = 0 <= fault.at <= scenario.seconds
-    _require(is_played, f"{path}.at", f"{fault.at:g} is outside of the {scenario.seconds:g} s played")
+    _require(is_played, f"{path}.at", f"{fault.at:g} is outside the {scenario.seconds:g} s of the run")
     proxies = scenario.proxies.count
     _require(0 <= fault.proxy < proxies, f"{path}.proxy", f"there are proxies 0 to {proxies - 1}")
     nodes = scenario.fleet.nodes
@@ -107,7 +107,7 @@
         zones = scenario.fleet.zones
         _require(fault.zone in zones, f"{path}.zone", f"expected one of {', '.join(zones)}")
     if fault.kind in ("failing-calls", "clock-step"):
-        _require(scenario.proxies.faulty_system, f"{path}.kind", "it needs proxies.faulty_system")
+        _require(scenario.proxies.faulty_system, f"{path}.kind", "this kind needs proxies.faulty_system")
     if fault.kind == "kill-many" and fault.how:
         _require_one_of(f"{path}.how", fault.how, STORES)
     if fault.kind == "garble" and fault.how:
--- a/lupinladder/emulator/soak_plan.py
+++ b/lupinladder/emulator/soak_plan.py
@@ -1,9 +1,9 @@
-"""Scenarios of the soak: troubles that overlap, drawn from a seed. No I/O.
+"""Scenarios of the soak: overlapping faults, drawn from a seed. No I/O.
 
-Rare faults show where two or three conditions coincide. So troubles are not spread evenly: they come in
-clusters of two to four that begin within a second of each other, after a quiet time or at once, and each
-cluster has something that ends or moves (a stop, a restart, a reload, a drain) beside something that makes it
-hard (nodes that hang, resets, a list that is away, calls that fail).
+Rare defects show when two or three conditions coincide. Faults are therefore not spread evenly. They come
+in groups of two to four that start within CLUSTER_SPREAD_S of each other, after a fault-free period or
+right after another group. Each group combines a lifecycle fault (a stop, restart, reload or drain) with a
+disruption (hanging nodes, resets, an unavailable list, failing calls).
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 DEFAULT_PROXIES = 24
 DEFAULT_SECONDS = 22.0
-RATE_PER_PROXY = 7.0  # requests a second: what one proxy learns alone comes late
+RATE_PER_PROXY = 7.0  # requests per second; at this low rate a proxy observes changes late
 NODES_PER_ZONE = 4
-MIN_QUIET_S = 1.0  # before the first cluster, and after the last one begins
+MIN_QUIET_S = 1.0  # minimum fault-free time before the first group
 LAST_CLUSTER_BEFORE_END_S = 6.0
-CLUSTERS = (2, 4)  # how many there are, the last one excluded
-CLUSTER_SPREAD_S = 1.2  # within which the troubles of a cluster begin
-HELD_UP_S = 0.15  # for which a proxy may be held up between reading its clock and writing
+CLUSTERS = (2, 4)  # number of groups, upper bound excluded
+CLUSTER_SPREAD_S = 1.2  # time within which the faults of a group start
+HELD_UP_S = 0.15  # how long a proxy may be suspended between reading its clock and writing
 HOUR_S = 3600.0
-CROWD_CHANCE = 0.35  # of a run
-CROWD_FACTOR = 3.0  # of the rate
+CROWD_CHANCE = 0.35  # probability that a run has a burst of load
+CROWD_FACTOR = 3.0  # the rate in a burst, as a multiple of the normal rate
 CROWD_S = 2.0
 
 Draw = np.random.Generator
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """A kind of fault and the spans that its settings are drawn from; see `FaultConfig`."""
+    """A kind of fault and the ranges from which its settings are drawn; see `FaultConfig`."""
 
     kind: str
     for_s: Span = NO_SPAN
     part: Span = (1.0, 1.0)
-    size: tuple[float, ...] = (0.0,)  # one of these
+    size: tuple[float, ...] = (0.0,)  # one of these values is drawn
     drain_s: float = 3.0
     size_per_proxy: float = 0.0
 
     def draw(self, draw: Draw, at: float, proxies: int) -> FaultConfig:
-        """The fault, beginning at this second of a run of so many proxies."""
+        """Draw a fault that starts `at` seconds into a run with this number of proxies."""
         return msgspec.convert(
             {
                 "kind": self.kind,
@@ -103,12 +103,12 @@
 
 
 def make_scenario(seed: int, proxies: int = DEFAULT_PROXIES, seconds: float = DEFAULT_SECONDS) -> Scenario:
-    """The scenario of this seed: the same seed gives the same troubles at the same times."""
+    """Return the scenario of this seed: the same seed yields the same faults at the same times."""
     draw = random_stream(seed, "soak")
     scenario = Scenario(
         seconds=seconds,
         load=_draw_load(draw, proxies, seconds),
-        about=f"Soak: overlapping troubles on {proxies} proxies.",
+        about=f"Soak: overlapping faults on {proxies} proxies.",
         seed=seed,
         fleet=ClusterConfig(
             nodes=NODES_PER_ZONE * 3, cores=max(1.0, proxies / 9), idle_s=_between(draw, 1, 6)
@@ -128,7 +128,7 @@
 
 
 def _draw_load(draw: Draw, proxies: int, seconds: float) -> list[LoadPhase]:
-    """An even rate; in some runs a crowd comes for a while."""
+    """Draw a constant rate, in some runs with one burst."""
     rate = RATE_PER_PROXY * proxies
     if draw.random() >= CROWD_CHANCE:
         return [LoadPhase(0, rate)]
@@ -137,7 +137,8 @@
 
 
 def _draw_classes(draw: Draw) -> list[RequestClassConfig]:
-    """Deadlines and windows shorter than usual in most runs, as on the operators' short days."""
+    """Draw deadlines and deduplication windows, in most runs shorter than usual, as operators may configure
+    them."""
     shorter = float(draw.choice([1.0, 0.6, 0.35]))
     window_ms = float(draw.choice([5000, 1200, 400]))
     return [
--- a/lupinladder/emulator/standalone.py
+++ b/lupinladder/emulator/standalone.py
@@ -1,4 +1,4 @@
-"""One emulated server by itself, to be talked to by hand."""
+"""Runs one emulated server alone, for requests by hand."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ServerType(StrEnum):
-    """What can run by itself. The values are verbs of the command line."""
+    """The servers that can run alone. The values are commands of the command line."""
 
     NODE = "node"
     ORIGIN = "origin"
@@ -26,7 +26,8 @@
 def run_standalone(
     server: ServerType, scenario: Scenario, seconds: float, write_line: Callable[[str], None]
 ) -> None:
-    """Serve on a free port for so long; `write_line` is called once with the address and an example."""
+    """Serve on a free port for `seconds`; `write_line` is called once with the address and an example
+    request."""
     uvloop.run(_serve(server, scenario, seconds, write_line))
 
 
--- a/tests/emulator/test_command_line.py
+++ b/tests/emulator/test_command_line.py
@@ -1,4 +1,5 @@
-"""The command line of the emulator: its help, bad input, runs with their files, and processes left behind."""
+"""Tests of the emulator's command line: help, invalid input, output files of runs, and no leftover
+processes."""
 
 from __future__ import annotations
 
@@ -112,7 +113,7 @@
             ]
             process = subprocess.Popen(arguments, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
             assert process.stderr
-            self.assertIn("proxies listen at", process.stderr.readline())  # all proxies are up
+            self.assertIn("proxies listen at", process.stderr.readline())  # all proxies have started
             proxies = psutil.Process(process.pid).children(recursive=True)
             self.assertEqual(len(proxies), 3)
             process.terminate()
--- a/tests/emulator/test_proxy_alarms.py
+++ b/tests/emulator/test_proxy_alarms.py
@@ -1,4 +1,4 @@
-"""What is read off the proxies' logs."""
+"""Tests of the defects that are read from the proxies' logs."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_report.py
+++ b/tests/emulator/test_report.py
@@ -1,4 +1,4 @@
-"""Reports: their statistics, their comparison and the exit code that they lead to."""
+"""Tests of reports: statistics, comparison and exit codes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 class Statistics(TestCase):
     def test_a_stalled_proxy_is_charged_for_what_would_have_come_meanwhile(self) -> None:
-        """Latency counts from the intended time (no coordinated omission)."""
+        """Latency is measured from the intended time, which avoids coordinated omission."""
         results = [Result(n / 100, 0, "served", max(5.0, 500 - n * 10), 1, 0) for n in range(100)]
         self.assertGreater(result_statistics.latency_percentiles(results)["p90"], 400)
         self.assertAlmostEqual(
--- a/tests/emulator/test_rule_checker.py
+++ b/tests/emulator/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker: what it must report, and what it must let pass."""
+"""Tests of the rule checker: what it must report as a violation, and what it must not."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Observations:
-    """A rule checker with two proxies that are up, and short methods for what it is told of one of them."""
+    """A rule checker with two running proxies, and short methods that report observations on one of them."""
 
     def __init__(self) -> None:
         self.checker = RuleChecker(Scenario(1, []).classes, 2, 0.0)
@@ -106,7 +106,7 @@
 def sent_to_leaving_server(first: float, active_again: bool = False) -> Scene:
     def scene(observed: Observations) -> None:
         observed.checker.on_status_sent(0, 0, "s1", "leaving")
-        observed.checker.on_status_sent(900, 0, "s1", "left")  # the first notice counts
+        observed.checker.on_status_sent(900, 0, "s1", "left")  # only the first notice counts
         if active_again:
             observed.checker.on_status_sent(950, 0, "s1", "active")
         observed.client_sends(first, "a")
@@ -192,7 +192,7 @@
 
 
 def answered_after_kill(*answers: float) -> Scene:
-    """The proxy is killed at 100 ms; answers are read at these times."""
+    """The proxy is killed at 100 ms, and the client reads answers at these times."""
 
     def scene(observed: Observations) -> None:
         observed.client_sends(0, "a")
@@ -211,12 +211,12 @@
     ("late, within the allowance for sockets", answered_late(69), []),
     ("late, beyond that allowance", answered_late(72), ["lost"]),
     ("no answer", never_answered(False), ["lost"]),
-    ("no answer of a proxy that was killed", never_answered(True), []),
+    ("no answer from a proxy that was killed", never_answered(True), []),
     ("an answer already written when its proxy was killed", answered_after_kill(103), []),
     ("the same answer twice", answered_after_kill(103, 104), ["lost"]),
     ("an answer long after its proxy was killed", answered_after_kill(200), ["lost"]),
-    ("ended without a byte", connection_ended(b"", True), ["lost"]),
-    ("ended within a value, so that its client can tell", connection_ended(b"$9\r\nab", True), []),
+    ("connection closed without a byte of the answer", connection_ended(b"", True), ["lost"]),
+    ("connection closed within a value, as its client can see", connection_ended(b"$9\r\nab", True), []),
     ("a connection closed before the command was read", connection_closed_before_command(False), []),
     (
         "a connection closed after the command was read and forwarded",
@@ -237,21 +237,21 @@
     ("not idempotent, rejected after busy", repeated(CLAIM, "busy", 50, "refused"), []),
     ("idempotency key, repeated within its window", repeated(EDIT, "broke", 5040), []),
     ("idempotency key, repeated after it", repeated(EDIT, "broke", 5060), ["effect"]),
-    ("sent long after its answer", attempt_after_rejection(100), ["effect"]),
-    ("sent as its answer was read", attempt_after_rejection(40), []),
-    ("to a leaving server within the grace period", sent_to_leaving_server(1540), []),
-    ("to a leaving server after the grace period", sent_to_leaving_server(1560), ["drain"]),
-    ("to a server that is active again", sent_to_leaving_server(1560, True), []),
+    ("sent long after its final answer", attempt_after_rejection(100), ["effect"]),
+    ("sent while its final answer was read", attempt_after_rejection(40), []),
+    ("sent to a draining server within the grace period", sent_to_leaving_server(1540), []),
+    ("sent to a draining server after the grace period", sent_to_leaving_server(1560), ["drain"]),
+    ("sent to a server that is active again", sent_to_leaving_server(1560, True), []),
     ("a warming server loaded within its bound", warming_server_loaded(880, True), []),
     ("a warming server overloaded", warming_server_loaded(950, True), ["cold"]),
-    ("the same work over a longer time", warming_server_loaded(1900, True, 150), []),
-    ("overloaded by a proxy that was never told of it", warming_server_loaded(950, False), []),
-    ("the origin failed under other load", origin_failed(0.2), []),
+    ("a warming server under the same work over a longer time", warming_server_loaded(1900, True, 150), []),
+    ("a warming server overloaded by a proxy without notice of it", warming_server_loaded(950, False), []),
+    ("the origin failed mostly under other load", origin_failed(0.2), []),
     ("the origin failed under misses of warming servers", origin_failed(0.4), ["cold"]),
-    ("sent after its client left", sent_after_its_client_left, ["lost"]),
-    ("sent as its client left", sent_as_its_client_left, []),
-    ("told more time than is left", told_more_time_than_is_left, ["lost"]),
-    ("told the time that is left", told_the_time_that_is_left, []),
+    ("sent after its client disconnected", sent_after_its_client_left, ["lost"]),
+    ("sent while its client disconnected", sent_as_its_client_left, []),
+    ("forwarded deadline longer than the remaining time", told_more_time_than_is_left, ["lost"]),
+    ("forwarded deadline within the allowance", told_the_time_that_is_left, []),
 ]
 
 
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -1,4 +1,5 @@
-"""Runs of the emulator with real processes: each kind of fault, and proxies with a planted fault."""
+"""Tests of the emulator with real proxy processes: each kind of fault, and proxies with an injected
+defect."""
 
 from __future__ import annotations
 
@@ -15,11 +16,12 @@
 from lupinladder.emulator.scenario import FaultConfig, LoadPhase, MisbehavingClientsConfig, Scenario
 from lupinladder.emulator.soak_plan import make_scenario
 
-MAX_VOID_RUNS = 4  # in which the machine, not the proxy, was late
+MAX_VOID_RUNS = 4  # runs that are void because the machine was late, after which a test is skipped
 
 
 def short_scenario(seconds: float, rate: float, *faults: FaultConfig, **settings: Any) -> Scenario:
-    """`settings` are values of the scenario, or, as `part__name`, of one of its parts."""
+    """Return a scenario; `settings` are its values, or with the form `part__name` values of one of its
+    parts."""
     played = Scenario(seconds, [LoadPhase(0, rate)], lead_s=0.5, faults=list(faults))
     for path, value in settings.items():
         part, _, name = path.partition("__")
@@ -29,8 +31,8 @@
 
 
 def outcome_of(played: Scenario, folder: Path | None = None) -> RunResult:
-    """The result of the first run that is not void. If the machine was late in all of them nothing is known
-    of the proxy, and the test skips. A fault of the emulator's own is a failure."""
+    """Return the result of the first run that is not void. If the machine was late in every run, nothing is
+    known about the proxy and the test is skipped. An error of the emulator itself fails the test."""
     for _ in range(MAX_VOID_RUNS):
         outcome = run.play(played, folder)
         if not outcome.void:
@@ -46,7 +48,7 @@
 
 class VoidRuns(TestCase):
     def test_a_late_machine_skips_the_test_and_a_fault_of_the_emulator_fails_it(self) -> None:
-        for void, raised in [(LATE_MESSAGE.format(30, 0.013), SkipTest), ("a fault", AssertionError)]:
+        for void, raised in [(LATE_MESSAGE.format(30, 0.013), SkipTest), ("an error", AssertionError)]:
             with mock.patch.object(run, "play", return_value=mock.Mock(void=void)), self.assertRaises(raised):
                 report_of(CASES["restarts"])
 
@@ -97,7 +99,7 @@
         fleet__reports=False,
         clients__tenants={"a": 0.7, "b": 0.3},
     ),
-    # What waits in line for a connection has less time left when it is sent: its command must say so.
+    # A request that waits for a connection must be sent with the time that remains until its deadline.
     "more requests than connections": short_scenario(3, 150, clients__connections=9),
     "values of 1 MiB": short_scenario(3, 15, clients__size=(1 << 20, 0.0)),
     "restarts": short_scenario(
@@ -132,7 +134,7 @@
 
 
 class Soak(TestCase):
-    """Some short stretches of the soak; `lupinladder emulator soak` plays it at length."""
+    """Short runs of the soak; `lupinladder emulator soak` plays longer ones."""
 
     SEEDS = (3, 4, 5, 6, 7)
 
@@ -146,7 +148,7 @@
 
 
 class PlantedFaults(TestCase):
-    """A proxy with a planted fault is found out, by the rule that it breaks."""
+    """The rule checker detects a proxy with an injected defect by the rule that the defect breaks."""
 
     def broken_rules(self, fault: str, played: Scenario) -> dict[str, int]:
         played.proxies.command = [sys.executable, "-m", "tests.emulator.faulty_proxy", fault]
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: errors name their line; the same seed draws the same requests."""
+"""Tests of scenarios: errors name their line, and the same seed yields the same requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lupinladder.operator_config.source_lines import PathElement, SourceLines
 
 VALID = "seconds = 5\nload = [{ at = 0, rate = 10 }]\n"
-FAULTY = [  # text, line, a part of the message
+FAULTY = [  # text, line, part of the message
     ("seconds = 5\nload = [\n", 2, "not TOML"),
     ("seconds = 'x'\nload = [{ at = 0, rate = 1 }]\n", 1, "seconds: Expected `float`"),
     (VALID + "[fleet]\nnodes = 12\ncolour = 1\n", 5, "unknown field `colour`"),
@@ -87,7 +87,7 @@
     def test_the_scenarios_that_ship_can_be_read_and_cover_every_fault(self) -> None:
         played = {fault.kind for name in scenario.shipped() for fault in scenario.read(name).faults}
         known = set(get_args(get_type_hints(scenario.FaultConfig)["kind"]))
-        self.assertEqual(known - played, {"term"})  # which a rolling restart plays
+        self.assertEqual(known - played, {"term"})  # rolling-restart covers it
 
 
 class DrawnRequests(TestCase):
--- a/tests/emulator/test_soak_plan.py
+++ b/tests/emulator/test_soak_plan.py
@@ -1,4 +1,4 @@
-"""The plan of the soak: drawn from its seed alone, with troubles that overlap."""
+"""Tests of the soak plan: it depends on the seed alone, and its faults overlap."""
 
 from __future__ import annotations
 
