--- a/lupinladder/emulator/effect_checker.py
+++ b/lupinladder/emulator/effect_checker.py
@@ -21,25 +21,25 @@
     def check_attempt(self, now: float, request: ObservedRequest, attempt: ObservedAttempt) -> None:
         """Check a new attempt; the caller adds it to the attempts of the request afterwards."""
         outcome = request.outcome
-        has_own_limit = outcome in (RequestOutcome.EXCUSED, RequestOutcome.LEFT)
+        has_own_limit = outcome in (RequestOutcome.EXCUSED, RequestOutcome.DISCONNECTED)
         is_finished = outcome is not None and not has_own_limit
         if is_finished and now > request.ended_at + self._slack_ms:
             self._report(now, request, f"sent after it was {outcome}", attempt)
-        earlier = request.first_attempt_with_effect()
-        if earlier is not None:
-            self._check_repetition(now, request, earlier, attempt)
+        earlier_attempt = request.first_attempt_with_effect()
+        if earlier_attempt is not None:
+            self._check_repetition(now, request, earlier_attempt, attempt)
 
     def _check_repetition(
-        self, now: float, request: ObservedRequest, earlier: ObservedAttempt, attempt: ObservedAttempt
+        self, now: float, request: ObservedRequest, earlier_attempt: ObservedAttempt, attempt: ObservedAttempt
     ) -> None:
         request_class = self._classes[request.class_index]
         if request_class.repeat == "safe":
             return
         if request_class.repeat == "unsafe":
-            description = f"sent to {attempt.server} although it may have run at {earlier.server}"
+            description = f"sent to {attempt.server} although it may have run at {earlier_attempt.server}"
             self._report(now, request, description, attempt)
-        elif attempt.at > earlier.at + request_class.window_ms + self._slack_ms:
-            description = f"sent again {attempt.at - earlier.at:.0f} ms after its first attempt"
+        elif attempt.at > earlier_attempt.at + request_class.window_ms + self._slack_ms:
+            description = f"sent again {attempt.at - earlier_attempt.at:.0f} ms after its first attempt"
             self._report(now, request, description, attempt)
 
     def check_rejection(self, now: float, request: ObservedRequest) -> None:
--- a/lupinladder/emulator/observed_proxy.py
+++ b/lupinladder/emulator/observed_proxy.py
@@ -8,10 +8,10 @@
 
 
 @dataclass(slots=True)
-class Pause:
+class Suspension:
     """A period in which the proxy's process was suspended by SIGSTOP. Times are in ms."""
 
-    begin: float
+    start: float
     end: float = inf
 
 
@@ -22,7 +22,7 @@
     start_count: int = 0
     is_up: bool = False
     stopping_since: float | None = None  # when SIGTERM was sent
-    pauses: list[Pause] = field(default_factory=list)
+    suspensions: list[Suspension] = field(default_factory=list)
     # For each server, when discovery first notified the proxy of the state.
     draining_since: dict[str, float] = field(default_factory=dict)
     listed_since: dict[str, float] = field(default_factory=dict)
@@ -35,17 +35,17 @@
         self.draining_since = {}
         self.listed_since = {}
 
-    def on_paused(self, now: float) -> None:
+    def on_suspended(self, now: float) -> None:
         """The process was sent SIGSTOP."""
-        self.pauses.append(Pause(now))
+        self.suspensions.append(Suspension(now))
 
     def on_resumed(self, now: float) -> None:
         """The process was sent SIGCONT."""
-        self.pauses[-1].end = now
+        self.suspensions[-1].end = now
 
-    def was_paused_between(self, begin: float, end: float) -> bool:
+    def was_suspended_between(self, start: float, end: float) -> bool:
         """Whether the process was suspended at any time of the period."""
-        return any(pause.begin <= end and begin <= pause.end for pause in self.pauses)
+        return any(suspension.start <= end and start <= suspension.end for suspension in self.suspensions)
 
     def is_running_start(self, start: int) -> bool:
         """Whether the process of this start is still running."""
--- a/lupinladder/emulator/observed_request.py
+++ b/lupinladder/emulator/observed_request.py
@@ -28,7 +28,7 @@
     REJECTED = "refused"
     FAILED = "failed"
     ABANDONED = "gone"  # the client gave up
-    LEFT = "left"  # the client disconnected before it had to give up
+    DISCONNECTED = "left"  # the client disconnected before it had to give up
     EXCUSED = "excused"  # the emulator killed, stopped or suspended the proxy: no answer was due
 
 
--- a/lupinladder/emulator/overload_checker.py
+++ b/lupinladder/emulator/overload_checker.py
@@ -61,7 +61,7 @@
             self.total_work -= expired.work
             self.informed_work -= expired.work if expired.is_informed else 0.0
 
-    def bound(self, now: float) -> float:
+    def work_limit(self, now: float) -> float:
         """Return the work within the window above which the server fails."""
         return OVERLOAD_FACTOR * self.capacity(now) * OVERLOAD_WINDOW_MS + CHANCE_ALLOWANCE_MS
 
@@ -95,14 +95,14 @@
             return False
         self._log.count_rate("sends to cold nodes", now)
         warming.add(ServerArrival(now, work, is_informed))
-        bound = warming.bound(now)
-        if warming.total_work <= bound:
+        work_limit = warming.work_limit(now)
+        if warming.total_work <= work_limit:
             return False
         warming.has_failed = True
         self._log.counts["fallen"] += 1
         if warming.informed_work >= warming.total_work * INFORMED_SHARE:
             age = now - warming.started_at
-            load = f"{warming.total_work:.0f} ms of work within a second, limit {bound:.0f} ms"
+            load = f"{warming.total_work:.0f} ms of work within a second, limit {work_limit:.0f} ms"
             self._log.add(Rule.NO_OVERLOAD, now, proxy, b"", f"{server}, {age:.0f} ms old, failed: {load}")
         return True
 
--- a/lupinladder/emulator/proxy_alarms.py
+++ b/lupinladder/emulator/proxy_alarms.py
@@ -15,7 +15,7 @@
 )
 CRASH = re.compile(r"^(Traceback|Fatal Python error|lupinladder: \[Errno)")
 # A proxy that was suspended by SIGSTOP answers late through no fault of its own.
-EXCUSED_WHILE_STOPPED = ("answered_in_time", "request_overdue")
+EXCUSED_WHILE_SUSPENDED = ("answered_in_time", "request_overdue")
 
 
 def read_alarms(logs: Iterable[Path], stops_processes: bool) -> list[str]:
@@ -28,7 +28,7 @@
         for line in path.read_text(errors="replace").splitlines():
             if not (ALARM.match(line) or CRASH.match(line)):
                 continue
-            if stops_processes and any(word in line for word in EXCUSED_WHILE_STOPPED):
+            if stops_processes and any(name in line for name in EXCUSED_WHILE_SUSPENDED):
                 continue
             alarms.append(f"{path.stem}: {line}")
     return alarms
--- a/lupinladder/emulator/report.py
+++ b/lupinladder/emulator/report.py
@@ -37,56 +37,56 @@
     """The part of a run between two changes of load or faults. Times are in seconds of the counted part."""
 
     name: str
-    begin: float
+    start: float
     end: float
 
 
-def figures(outcome: RunResult) -> dict[str, Any]:
+def figures(run_result: RunResult) -> dict[str, Any]:
     """Return the whole report."""
-    scenario = outcome.scenario
-    class_reports = _class_reports(outcome.results, scenario.classes)
+    scenario = run_result.scenario
+    class_reports = _class_reports(run_result.results, scenario.classes)
     return {
         "schema": SCHEMA,
         "about": scenario.about,
         "seed": scenario.seed,
         "seconds": scenario.seconds,
-        **_verdict(outcome),
-        **_totals(outcome, class_reports),
+        **_verdict(run_result),
+        **_totals(run_result, class_reports),
         "classes": class_reports,
-        "phases": _phase_reports(outcome.results, scenario),
-        "timeline": _timeline(outcome.results, scenario),
-        "counts": dict(outcome.counts),
-        "origin_stops": outcome.origin_stops,
-        "connections": outcome.connections,
+        "phases": _phase_reports(run_result.results, scenario),
+        "timeline": _timeline(run_result.results, scenario),
+        "counts": dict(run_result.counts),
+        "origin_stops": run_result.origin_stops,
+        "connections": run_result.connections,
         "hostile": {
-            "owed": dict(outcome.misbehaving_owed),
-            "unpaid": dict(outcome.misbehaving_unpaid),
+            "owed": dict(run_result.misbehaving_sent),
+            "unpaid": dict(run_result.misbehaving_unanswered),
         },
-        "marks": [(round(at, 2), what) for at, what in outcome.marks],
-        "nodes": [_snapshot_report(snapshot) for snapshot in outcome.snapshots],
-        "proxies": [_proxy_report(proxy) for proxy in outcome.proxies],
+        "marks": [(round(at, 2), description) for at, description in run_result.events],
+        "nodes": [_snapshot_report(snapshot) for snapshot in run_result.snapshots],
+        "proxies": [_proxy_report(proxy) for proxy in run_result.proxies],
         "lab": {
-            "late_share": round(outcome.late_share, 5),
-            "late_worst_ms": round(outcome.late_worst, 1),
-            "begun_late_p99_ms": round(outcome.late_begin, 2),
+            "late_share": round(run_result.late_share, 5),
+            "late_worst_ms": round(run_result.max_lateness_ms, 1),
+            "begun_late_p99_ms": round(run_result.start_delay_p99_ms, 2),
         },
     }
 
 
-def _verdict(outcome: RunResult) -> dict[str, Any]:
-    counts = Counter(violation.rule for violation in outcome.broken)
+def _verdict(run_result: RunResult) -> dict[str, Any]:
+    counts = Counter(violation.rule for violation in run_result.broken)
     return {
-        "void": outcome.void,
-        "kept": not outcome.broken,
+        "void": run_result.void,
+        "kept": not run_result.broken,
         "rules": {rule.value: counts[rule] for rule in Rule},
-        "broken": [str(violation) for violation in outcome.broken[:MAX_VIOLATIONS]],
+        "broken": [str(violation) for violation in run_result.broken[:MAX_VIOLATIONS]],
     }
 
 
-def _totals(outcome: RunResult, class_reports: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    classes = outcome.scenario.classes
-    results = outcome.results
-    worst_share = worst_share_in_time(results, classes, outcome.scenario.seconds)
+def _totals(run_result: RunResult, class_reports: dict[str, dict[str, Any]]) -> dict[str, Any]:
+    classes = run_result.scenario.classes
+    results = run_result.results
+    worst_share = worst_share_in_time(results, classes, run_result.scenario.seconds)
     class_shares = [class_report["share"] for class_report in class_reports.values() if class_report["asked"]]
     return {
         "share": round(share_in_time(results, classes), 4),
@@ -103,13 +103,15 @@
 ) -> dict[str, dict[str, Any]]:
     reports = {}
     for index, request_class in enumerate(classes):
-        own = [result for result in results if result.request_class == index]
+        class_results = [result for result in results if result.request_class == index]
         reports[request_class.name] = {
-            "asked": len(own),
-            "outcomes": count_outcomes(own, classes),
-            "share": round(share_in_time(own, classes), 4),
-            "latency_ms": latency_percentiles(own),
-            "tries": round(statistics.fmean(result.attempts for result in own), 3) if own else 0.0,
+            "asked": len(class_results),
+            "outcomes": count_outcomes(class_results, classes),
+            "share": round(share_in_time(class_results, classes), 4),
+            "latency_ms": latency_percentiles(class_results),
+            "tries": round(statistics.fmean(result.attempts for result in class_results), 3)
+            if class_results
+            else 0.0,
         }
     return reports
 
@@ -119,23 +121,23 @@
     names = {0.0: "start"}
     names |= {step.at: f"{step.rate:g}/s" for step in scenario.load}
     names |= {fault.at: fault.kind for fault in scenario.faults}
-    begins = sorted(names)
-    ends = [*begins[1:], scenario.seconds]
-    return [Phase(names[begin], begin, end) for begin, end in zip(begins, ends, strict=True) if end > begin]
+    starts = sorted(names)
+    ends = [*starts[1:], scenario.seconds]
+    return [Phase(names[start], start, end) for start, end in zip(starts, ends, strict=True) if end > start]
 
 
 def _phase_reports(results: Sequence[Result], scenario: Scenario) -> list[dict[str, Any]]:
     reports = []
     for phase in _phases(scenario):
-        own = [result for result in results if phase.begin <= result.at < phase.end]
+        phase_results = [result for result in results if phase.start <= result.at < phase.end]
         reports.append(
             {
                 "name": phase.name,
-                "from_s": phase.begin,
+                "from_s": phase.start,
                 "to_s": phase.end,
-                "share": round(share_in_time(own, scenario.classes), 4),
-                "latency_ms": latency_percentiles(own),
-                "outcomes": count_outcomes(own, scenario.classes),
+                "share": round(share_in_time(phase_results, scenario.classes), 4),
+                "latency_ms": latency_percentiles(phase_results),
+                "outcomes": count_outcomes(phase_results, scenario.classes),
             }
         )
     return reports
@@ -145,10 +147,10 @@
     return [
         {
             "at_s": float(second),
-            "outcomes": count_outcomes(own, scenario.classes),
-            "latency_ms": latency_percentiles(own),
+            "outcomes": count_outcomes(second_results, scenario.classes),
+            "latency_ms": latency_percentiles(second_results),
         }
-        for second, own in by_second(results, scenario.seconds)
+        for second, second_results in by_second(results, scenario.seconds)
     ]
 
 
@@ -171,8 +173,8 @@
     }
 
 
-def exit_code(tree: dict[str, Any]) -> ExitCode:
+def exit_code(report: dict[str, Any]) -> ExitCode:
     """Return the exit code for a report."""
-    if tree["void"]:
+    if report["void"]:
         return ExitCode.VOID
-    return ExitCode.RULES_KEPT if tree["kept"] else ExitCode.RULE_BROKEN
+    return ExitCode.RULES_KEPT if report["kept"] else ExitCode.RULE_BROKEN
--- a/lupinladder/emulator/report_comparison.py
+++ b/lupinladder/emulator/report_comparison.py
@@ -69,7 +69,7 @@
 
 
 def _value(report: dict[str, Any], path: tuple[str, ...]) -> float | None:
-    node: Any = report
+    value: Any = report
     for key in path:
-        node = node.get(key) if isinstance(node, dict) else None
-    return float(node) if isinstance(node, int | float) else None
+        value = value.get(key) if isinstance(value, dict) else None
+    return float(value) if isinstance(value, int | float) else None
--- a/lupinladder/emulator/report_table.py
+++ b/lupinladder/emulator/report_table.py
@@ -22,24 +22,24 @@
 }
 
 
-def show(tree: dict[str, Any]) -> RenderableType:
+def show(report: dict[str, Any]) -> RenderableType:
     """Return a report as tables, followed by the verdict on the rules."""
-    parts: list[RenderableType] = [_class_table(tree), _phase_table(tree), Text(_summary(tree))]
-    sent = sum(tree["hostile"]["owed"].values())
+    parts: list[RenderableType] = [_class_table(report), _phase_table(report), Text(_summary(report))]
+    sent = sum(report["hostile"]["owed"].values())
     if sent:
-        unpaid = sum(tree["hostile"]["unpaid"].values())
+        unpaid = sum(report["hostile"]["unpaid"].values())
         summary = f"misbehaving clients: {sent} sent, {unpaid} got neither an error nor a close in time"
         parts.append(Text(summary))
-    parts.append(verdict(tree))
+    parts.append(verdict(report))
     return Group(*parts)
 
 
-def _class_table(tree: dict[str, Any]) -> Table:
-    table = Table(title=tree["about"] or None, title_justify="left", box=SIMPLE, pad_edge=False)
+def _class_table(report: dict[str, Any]) -> Table:
+    table = Table(title=report["about"] or None, title_justify="left", box=SIMPLE, pad_edge=False)
     table.add_column("class")
     for name in ("asked", *OUTCOMES, "in time", "p50 ms", "p99 ms", "p99.9 ms"):
         table.add_column(name, justify="right")
-    for name, row in [*tree["classes"].items(), ("all", tree)]:
+    for name, row in [*report["classes"].items(), ("all", report)]:
         table.add_row(
             name,
             str(row["asked"]),
@@ -50,12 +50,12 @@
     return table
 
 
-def _phase_table(tree: dict[str, Any]) -> Table:
+def _phase_table(report: dict[str, Any]) -> Table:
     table = Table(title="by phase", title_justify="left", box=SIMPLE, pad_edge=False)
     table.add_column("phase")
     for name in ("from s", "to s", "in time", "p50 ms", "p99 ms"):
         table.add_column(name, justify="right")
-    for phase in tree["phases"]:
+    for phase in report["phases"]:
         table.add_row(
             phase["name"],
             f"{phase['from_s']:g}",
@@ -70,36 +70,36 @@
     return [f"{latency[name]:.1f}" if name in latency else "-" for name in names]
 
 
-def _summary(tree: dict[str, Any]) -> str:
-    proxies = tree["proxies"]
+def _summary(report: dict[str, Any]) -> str:
+    proxies = report["proxies"]
     cpu = sum(proxy["cpu_s"] for proxy in proxies)
     memory = max(proxy["rss_mb"] for proxy in proxies)
     descriptors = max(proxy["descriptors"] for proxy in proxies)
     return (
-        f"worst 10 s {tree['share_worst_10s']:.1%}, worst class {tree['share_worst_class']:.1%}; "
-        f"{tree['counts'].get('executions', 0)} attempts, {tree['connections']} client connections, "
-        f"{tree['origin_stops']} stops of the origin; proxies used {cpu:.2f} s of CPU, at most "
+        f"worst 10 s {report['share_worst_10s']:.1%}, worst class {report['share_worst_class']:.1%}; "
+        f"{report['counts'].get('executions', 0)} attempts, {report['connections']} client connections, "
+        f"{report['origin_stops']} stops of the origin; proxies used {cpu:.2f} s of CPU, at most "
         f"{memory:.0f} MB and {descriptors} descriptors each"
     )
 
 
-def verdict(tree: dict[str, Any]) -> Text:
+def verdict(report: dict[str, Any]) -> Text:
     """Return one line for each of the four rules, the first violations, and whether the run is valid."""
     text = Text()
     for rule, description in RULE_DESCRIPTIONS.items():
-        count = tree["rules"][rule]
+        count = report["rules"][rule]
         if count:
             text.append(f"  BROKEN {count:>4} ", "bold red")
         else:
             text.append("  kept    ", "green")
         text.append(description + "\n")
-    for violation in tree["broken"][:MAX_VIOLATIONS_SHOWN]:
+    for violation in report["broken"][:MAX_VIOLATIONS_SHOWN]:
         text.append(f"  {violation}\n", "red")
-    if len(tree["broken"]) > MAX_VIOLATIONS_SHOWN:
-        text.append(f"  and {len(tree['broken']) - MAX_VIOLATIONS_SHOWN} more, in the report\n", "red")
-    if tree["void"]:
-        text.append(f"VOID: {tree['void']}; the run says nothing about the proxies", "bold yellow")
-    elif tree["kept"]:
+    if len(report["broken"]) > MAX_VIOLATIONS_SHOWN:
+        text.append(f"  and {len(report['broken']) - MAX_VIOLATIONS_SHOWN} more, in the report\n", "red")
+    if report["void"]:
+        text.append(f"VOID: {report['void']}; the run says nothing about the proxies", "bold yellow")
+    elif report["kept"]:
         text.append("All four rules kept.", "bold green")
     else:
         text.append("Rules were broken.", "bold red")
--- a/lupinladder/emulator/restart_recovery.py
+++ b/lupinladder/emulator/restart_recovery.py
@@ -25,10 +25,10 @@
 
 SECONDS = 17.0  # length of a run
 KILLED_S = 6.0  # time at which the proxies are killed
-AWAY_S = 1.2  # time from the kill until they are started again
-BASELINE_BEGIN_S = 2.0  # the time from here to the kill is the baseline
+DOWNTIME_S = 1.2  # time from the kill until they are started again
+BASELINE_START_S = 2.0  # the time from here to the kill is the baseline
 FULL_SERVICE_MARGIN = 0.02  # by which the share in time may be below the baseline
-FULL_SERVICE_S = 2.0  # time over which the share must reach this level
+FULL_SERVICE_WINDOW_S = 2.0  # time over which the share must reach this level
 STEP_S = 0.1  # resolution of the share in time
 STEPS_PER_S = 10
 REQUESTS_PER_S = 12.5  # for each proxy
@@ -46,13 +46,15 @@
     request.
     """
     has_store = store != "none"
-    faults = [FaultConfig("kill-many", KILLED_S, AWAY_S, kill, how=store if has_store else "")]
-    made = Scenario(SECONDS, [LoadPhase(0, REQUESTS_PER_S * proxies)], seed=seed)
-    made.faults = _discovery_faults(discovery) + faults
-    made.about = f"{kill:.0%} of {proxies} proxies killed at once; store {store}, discovery {discovery}"
-    made.proxies = ProxiesConfig(proxies, store=has_store, known="none" if has_store else "first")
-    made.check()
-    return made
+    faults = [FaultConfig("kill-many", KILLED_S, DOWNTIME_S, kill, how=store if has_store else "")]
+    run_scenario = Scenario(SECONDS, [LoadPhase(0, REQUESTS_PER_S * proxies)], seed=seed)
+    run_scenario.faults = _discovery_faults(discovery) + faults
+    run_scenario.about = (
+        f"{kill:.0%} of {proxies} proxies killed at once; store {store}, discovery {discovery}"
+    )
+    run_scenario.proxies = ProxiesConfig(proxies, store=has_store, known="none" if has_store else "first")
+    run_scenario.check()
+    return run_scenario
 
 
 def _discovery_faults(discovery: DiscoveryCondition) -> list[FaultConfig]:
@@ -69,15 +71,15 @@
 class WeightByStep:
     """The priority weight requested and answered in time, for each step of STEP_S of the intended time."""
 
-    def __init__(self, results: Sequence[Result], played: Scenario) -> None:
-        steps = round(played.seconds / STEP_S)
+    def __init__(self, results: Sequence[Result], run_scenario: Scenario) -> None:
+        steps = round(run_scenario.seconds / STEP_S)
         self._requested = [0.0] * steps
         self._in_time = [0.0] * steps
         for result in results:
             step = int(result.at / STEP_S)
             if not 0 <= step < steps:
                 continue
-            request_class = played.classes[result.request_class]
+            request_class = run_scenario.classes[result.request_class]
             self._requested[step] += request_class.priority_weight
             if outcome_of(result, request_class) == "served":
                 self._in_time[step] += request_class.priority_weight
@@ -85,59 +87,61 @@
     def __len__(self) -> int:
         return len(self._requested)
 
-    def share(self, begin: int, end: int) -> float:
-        """Return the share in time over the steps from `begin` up to `end`; 0 without requests."""
-        return sum(self._in_time[begin:end]) / max(sum(self._requested[begin:end]), 1e-9)
+    def share(self, start: int, end: int) -> float:
+        """Return the share in time over the steps from `start` up to `end`; 0 without requests."""
+        return sum(self._in_time[start:end]) / max(sum(self._requested[start:end]), 1e-9)
 
 
-def full_after(results: Sequence[Result], made: Scenario, killed: float = KILLED_S) -> float | None:
+def full_after(
+    results: Sequence[Result], run_scenario: Scenario, killed_at: float = KILLED_S
+) -> float | None:
     """Return the seconds from the kill to full service, or None if full service was not reached.
 
-    Full service starts at the first step from which the share of weight in time over FULL_SERVICE_S is at
-    most FULL_SERVICE_MARGIN below the baseline.
+    Full service starts at the first step from which the share of weight in time over FULL_SERVICE_WINDOW_S
+    is at most FULL_SERVICE_MARGIN below the baseline.
     """
-    weight = WeightByStep(results, made)
-    kill_step = round(killed / STEP_S)
-    span = round(FULL_SERVICE_S / STEP_S)
-    normal = weight.share(round(BASELINE_BEGIN_S / STEP_S), kill_step)
-    for begin in range(kill_step, len(weight) - span + 1):
-        if weight.share(begin, begin + span) >= normal - FULL_SERVICE_MARGIN:
-            return (begin - kill_step) * STEP_S
+    weight = WeightByStep(results, run_scenario)
+    kill_step = round(killed_at / STEP_S)
+    window_steps = round(FULL_SERVICE_WINDOW_S / STEP_S)
+    baseline = weight.share(round(BASELINE_START_S / STEP_S), kill_step)
+    for start in range(kill_step, len(weight) - window_steps + 1):
+        if weight.share(start, start + window_steps) >= baseline - FULL_SERVICE_MARGIN:
+            return (start - kill_step) * STEP_S
     return None
 
 
-def highest(rate: Counter[int], begin: float, end: float) -> int:
-    """Return the highest count within one second between `begin` and `end` (s). `rate` counts per tenth of
+def highest(rate: Counter[int], start: float, end: float) -> int:
+    """Return the highest count within one second between `start` and `end` (s). `rate` counts per tenth of
     a second, and the second may start at any of them."""
-    first = round(begin * STEPS_PER_S)
-    last = round(end * STEPS_PER_S)
-    begins = range(first, max(last - STEPS_PER_S + 1, first + 1))
-    return max((_count_in_second(rate, step) for step in begins), default=0)
+    first_step = round(start * STEPS_PER_S)
+    last_step = round(end * STEPS_PER_S)
+    first_steps = range(first_step, max(last_step - STEPS_PER_S + 1, first_step + 1))
+    return max((_count_in_second(rate, step) for step in first_steps), default=0)
 
 
 def _count_in_second(rate: Counter[int], first_step: int) -> int:
     return sum(rate[step] for step in range(first_step, first_step + STEPS_PER_S))
 
 
-def figures(outcome: RunResult) -> dict[str, Any]:
+def figures(run_result: RunResult) -> dict[str, Any]:
     """Return the report on one run as plain data."""
-    played = outcome.scenario
-    tree = report.figures(outcome)
-    rates = {name: outcome.rates.get(name, Counter()) for name in RATES}
-    after_kill = [result for result in outcome.results if result.at >= KILLED_S]
+    run_scenario = run_result.scenario
+    run_report = report.figures(run_result)
+    rates = {name: run_result.rates.get(name, Counter()) for name in RATES}
+    after_kill = [result for result in run_result.results if result.at >= KILLED_S]
     return {
-        "seed": played.seed,
-        "void": outcome.void,
-        "kept": tree["kept"],
-        "rules": tree["rules"],
-        "broken": tree["broken"],
-        "share": tree["share"],
-        "full_after_s": full_after(outcome.results, played),
-        "outcomes": count_outcomes(after_kill, played.classes),
+        "seed": run_scenario.seed,
+        "void": run_result.void,
+        "kept": run_report["kept"],
+        "rules": run_report["rules"],
+        "broken": run_report["broken"],
+        "share": run_report["share"],
+        "full_after_s": full_after(run_result.results, run_scenario),
+        "outcomes": count_outcomes(after_kill, run_scenario.classes),
         "highest": {
             name: {
-                "before": highest(rate, BASELINE_BEGIN_S, KILLED_S),
-                "after": highest(rate, KILLED_S, played.seconds),
+                "before": highest(rate, BASELINE_START_S, KILLED_S),
+                "after": highest(rate, KILLED_S, run_scenario.seconds),
             }
             for name, rate in rates.items()
         },
@@ -145,33 +149,33 @@
             name: [_count_in_second(rate, second * STEPS_PER_S) for second in range(int(SECONDS))]
             for name, rate in rates.items()
         },
-        "in_time_by_second": _share_by_second(outcome),
+        "in_time_by_second": _share_by_second(run_result),
     }
 
 
-def _share_by_second(outcome: RunResult) -> list[float]:
-    weight = WeightByStep(outcome.results, outcome.scenario)
-    begins = range(0, len(weight), STEPS_PER_S)
-    return [round(weight.share(begin, begin + STEPS_PER_S), 4) for begin in begins]
+def _share_by_second(run_result: RunResult) -> list[float]:
+    weight = WeightByStep(run_result.results, run_result.scenario)
+    first_steps = range(0, len(weight), STEPS_PER_S)
+    return [round(weight.share(start, start + STEPS_PER_S), 4) for start in first_steps]
 
 
-def summary(rows: Sequence[dict[str, Any]]) -> dict[str, Any]:
+def summary(runs: Sequence[dict[str, Any]]) -> dict[str, Any]:
     """Summarize the valid runs: median and worst time to full service, outcomes, and the highest rates."""
-    valid = [row for row in rows if not row["void"]]
-    times = [SECONDS - KILLED_S if row["full_after_s"] is None else row["full_after_s"] for row in valid]
+    valid = [run for run in runs if not run["void"]]
+    times = [SECONDS - KILLED_S if run["full_after_s"] is None else run["full_after_s"] for run in valid]
     return {
-        "runs": len(rows),
-        "void": len(rows) - len(valid),
-        "kept": all(row["kept"] for row in valid),
+        "runs": len(runs),
+        "void": len(runs) - len(valid),
+        "kept": all(run["kept"] for run in valid),
         "full_after_s": {"median": statistics.median(times), "worst": max(times)} if times else {},
-        "never_full": sum(row["full_after_s"] is None for row in valid),
-        "share": round(statistics.fmean(row["share"] for row in valid), 4) if valid else None,
+        "never_full": sum(run["full_after_s"] is None for run in valid),
+        "share": round(statistics.fmean(run["share"] for run in valid), 4) if valid else None,
         "lost_and_late": {
-            outcome: sum(row["outcomes"].get(outcome, 0) for row in valid) for outcome in LOST_AND_LATE
+            outcome: sum(run["outcomes"].get(outcome, 0) for run in valid) for outcome in LOST_AND_LATE
         },
         "highest": {
             name: {
-                when: max((row["highest"][name][when] for row in valid), default=0)
+                when: max((run["highest"][name][when] for run in valid), default=0)
                 for when in ("before", "after")
             }
             for name in RATES
@@ -179,13 +183,13 @@
     }
 
 
-def full_report(about: str, rows: Sequence[dict[str, Any]]) -> dict[str, Any]:
+def full_report(about: str, runs: Sequence[dict[str, Any]]) -> dict[str, Any]:
     """Return the report on the runs of all seeds."""
-    return {"schema": report.SCHEMA, "about": about, "summary": summary(rows), "runs": list(rows)}
+    return {"schema": report.SCHEMA, "about": about, "summary": summary(runs), "runs": list(runs)}
 
 
-def exit_code(tree: dict[str, Any]) -> report.ExitCode:
+def exit_code(run_summary: dict[str, Any]) -> report.ExitCode:
     """Return the exit code for a summary, as for `emulator run`: void if all runs are void."""
-    if not tree["kept"]:
+    if not run_summary["kept"]:
         return report.ExitCode.RULE_BROKEN
-    return report.ExitCode.VOID if tree["void"] == tree["runs"] else report.ExitCode.RULES_KEPT
+    return report.ExitCode.VOID if run_summary["void"] == run_summary["runs"] else report.ExitCode.RULES_KEPT
--- a/lupinladder/emulator/result_statistics.py
+++ b/lupinladder/emulator/result_statistics.py
@@ -14,7 +14,7 @@
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
-WORST_SPAN_S = 10.0
+WORST_WINDOW_S = 10.0
 
 
 def outcome_of(result: Result, request_class: RequestClassConfig) -> str:
@@ -59,8 +59,8 @@
 def worst_share_in_time(
     results: Sequence[Result], classes: Sequence[RequestClassConfig], seconds: float
 ) -> float:
-    """Return the lowest share in time over any WORST_SPAN_S that start at a full second; a shorter run is
-    one span."""
+    """Return the lowest share in time over a window of WORST_WINDOW_S that starts at a full second; a shorter
+    run is one window."""
     requested: dict[int, float] = defaultdict(float)
     in_time: dict[int, float] = defaultdict(float)
     for result in results:
@@ -69,19 +69,19 @@
         requested[second] += request_class.priority_weight
         if outcome_of(result, request_class) == "served":
             in_time[second] += request_class.priority_weight
-    width = int(min(WORST_SPAN_S, max(seconds, 1.0)))
+    window_seconds = int(min(WORST_WINDOW_S, max(seconds, 1.0)))
     shares = []
-    for begin in range(max(1, int(seconds) - width + 1)):
-        span = range(begin, begin + width)
-        total = sum(requested[second] for second in span)
+    for first_second in range(max(1, int(seconds) - window_seconds + 1)):
+        window = range(first_second, first_second + window_seconds)
+        total = sum(requested[second] for second in window)
         if total:
-            shares.append(sum(in_time[second] for second in span) / total)
+            shares.append(sum(in_time[second] for second in window) / total)
     return min(shares, default=1.0)
 
 
 def by_second(results: Sequence[Result], seconds: float) -> list[tuple[int, list[Result]]]:
     """Return the results by full second of their intended time; a run shorter than a second has one entry."""
-    found: dict[int, list[Result]] = defaultdict(list)
+    results_by_second: dict[int, list[Result]] = defaultdict(list)
     for result in results:
-        found[int(result.at)].append(result)
-    return [(second, found[second]) for second in range(max(1, int(seconds)))]
+        results_by_second[int(result.at)].append(result)
+    return [(second, results_by_second[second]) for second in range(max(1, int(seconds)))]
--- a/lupinladder/emulator/rule_checker.py
+++ b/lupinladder/emulator/rule_checker.py
@@ -29,11 +29,11 @@
 GRACE = 20.0  # ms after the client's deadline within which an answer is still in time
 DRAIN_GRACE_MS = 1500.0  # grace period after discovery has sent that a server is draining
 SHUTDOWN_GRACE_MS = 700.0  # a request that arrives within this time after SIGTERM must still be answered
-CLIENT_LEFT_GRACE_MS = 100.0  # after its client disconnects, an attempt may still be sent this long
-TOLD_DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may exceed the remaining time
-TOLD_DEADLINE = re.compile(rb"c=[!-~]*?,d=([0-9]+)")  # the label d of a command
+CLIENT_DISCONNECT_GRACE_MS = 100.0  # after its client disconnects, an attempt may still be sent this long
+FORWARDED_DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may exceed the remaining time
+FORWARDED_DEADLINE = re.compile(rb"c=[!-~]*?,d=([0-9]+)")  # the label d of a command
 SWEEP_MARGIN_MS = 100.0  # further time for an answer until a request counts as unanswered
-FINISHED_KEPT_MS = 20_000.0  # how long a finished request is kept
+FINISHED_RETENTION_MS = 20_000.0  # how long a finished request is kept
 
 
 class RuleChecker:
@@ -45,7 +45,7 @@
         """`start` is the start of the counted part in ms. `unanswered` is "lost" if a request without an
         answer breaks a rule, and "failed" if it does not."""
         self.log = ViolationLog(start)
-        self._must_answer = unanswered == "lost"
+        self._unanswered_is_violation = unanswered == "lost"
         self._requests: OrderedDict[bytes, ObservedRequest] = OrderedDict()
         self._open_requests: deque[ObservedRequest] = deque()
         self._proxies = [ObservedProxy() for _ in range(proxies)]
@@ -62,9 +62,9 @@
         """The counters of the report."""
         return self.log.counts
 
-    def count_rate(self, what: str, now: float) -> None:
+    def count_rate(self, event: str, now: float) -> None:
         """Count an event; its rate over all proxies is reported."""
-        self.log.count_rate(what, now)
+        self.log.count_rate(event, now)
 
     # Processes of the proxies
 
@@ -83,7 +83,7 @@
     def proxy_frozen(self, now: float, proxy: int) -> None:
         """The emulator sent SIGSTOP. No answer is due in time for requests that are open meanwhile; all
         other rules apply."""
-        self._proxies[proxy].on_paused(now)
+        self._proxies[proxy].on_suspended(now)
 
     def proxy_thawed(self, now: float, proxy: int) -> None:
         """The emulator sent SIGCONT."""
@@ -115,38 +115,38 @@
     # Connections of clients
 
     def on_request_sent(
-        self, now: float, proxy: int, ident: bytes, kind: int, wait: float, raw: bytes
+        self, now: float, proxy: int, request_id: bytes, class_index: int, timeout_ms: float, raw: bytes
     ) -> None:
-        """A client has written the last byte of a command of request class `kind`; its deadline is in
-        `wait` ms."""
+        """A client has written the last byte of a command of request class `class_index`; its deadline is in
+        `timeout_ms` ms."""
         start = self._proxies[proxy].start_count
-        request = ObservedRequest(ident, kind, now + wait, proxy, start, raw, now)
-        self._requests[ident] = request
+        request = ObservedRequest(request_id, class_index, now + timeout_ms, proxy, start, raw, now)
+        self._requests[request_id] = request
         self._open_requests.append(request)
         self.counts["taken"] += 1
 
-    def on_request_resent(self, now: float, ident: bytes) -> None:
+    def on_request_resent(self, now: float, request_id: bytes) -> None:
         """The proxy closed the connection while the client sent the command; the client sends it again on a
         new connection."""
         self.counts["crossed_a_close"] += 1
-        request = self._requests.get(ident)
+        request = self._requests.get(request_id)
         if request and request.attempts and self._proxies[request.proxy].is_up:
             description = "its connection was closed without an answer, although it had been forwarded"
             self._report_lost(now, request, description)
 
-    def on_resend_refused(self, now: float, ident: bytes) -> None:
+    def on_resend_refused(self, now: float, request_id: bytes) -> None:
         """The new connection for a command that crossed a close was refused, so no proxy has received the
         command."""
-        request = self._requests.get(ident)
+        request = self._requests.get(request_id)
         if request and request.outcome is None:
             request.end(RequestOutcome.EXCUSED, now)
 
-    def on_answer(self, now: float, ident: bytes, answer: str, value: bytes, raw: bytes) -> None:
+    def on_answer(self, now: float, request_id: bytes, answer: str, value: bytes, raw: bytes) -> None:
         """A client has read a complete answer; `answer` is served, refused or failed."""
-        request = self._requests.get(ident)
-        if request is None or request.outcome in (RequestOutcome.ABANDONED, RequestOutcome.LEFT):
+        request = self._requests.get(request_id)
+        if request is None or request.outcome in (RequestOutcome.ABANDONED, RequestOutcome.DISCONNECTED):
             return
-        if request.outcome is not None and not self._was_under_way(now, request):
+        if request.outcome is not None and not self._was_answer_in_flight(now, request):
             self._report_lost(now, request, f"a second final answer after {request.outcome}", raw)
             return
         outcome = RequestOutcome(answer)
@@ -158,12 +158,12 @@
         if outcome is RequestOutcome.REJECTED:
             self._effects.check_rejection(now, request)
 
-    def on_connection_ended(self, now: float, ident: bytes, part: bytes) -> None:
-        """The proxy closed the connection; `part` is the part of the answer that it had written."""
-        request = self._requests.get(ident)
+    def on_connection_ended(self, now: float, request_id: bytes, partial_answer: bytes) -> None:
+        """The proxy closed the connection; `partial_answer` is the part of the answer that it had written."""
+        request = self._requests.get(request_id)
         if request is None or request.outcome is not None:
             return
-        if part and request.attempts:  # the client can tell that the answer is incomplete
+        if partial_answer and request.attempts:  # the client can tell that the answer is incomplete
             request.end(RequestOutcome.FAILED, now)
             self.counts["cut_off"] += 1
         elif not self._proxies[request.proxy].is_running_start(request.proxy_start):
@@ -172,45 +172,45 @@
             request.end(RequestOutcome.FAILED, now)
             self._report_lost(now, request, "its connection was closed without an answer")
 
-    def on_client_gave_up(self, now: float, ident: bytes) -> None:
+    def on_client_gave_up(self, now: float, request_id: bytes) -> None:
         """The client has given up and closed its connection. A later answer cannot reach it."""
-        request = self._requests.get(ident)
+        request = self._requests.get(request_id)
         if request and request.outcome is None:
             self._end_unanswered(now, request)
 
-    def on_client_left(self, now: float, ident: bytes) -> None:
+    def on_client_left(self, now: float, request_id: bytes) -> None:
         """The client has disconnected before it had to give up: no answer is due, and no attempt may
         start."""
-        request = self._requests.get(ident)
+        request = self._requests.get(request_id)
         if request and request.outcome is None:
-            request.end(RequestOutcome.LEFT, now)
+            request.end(RequestOutcome.DISCONNECTED, now)
             self.counts["left"] += 1
 
-    def on_unexpected_bytes(self, now: float, proxy: int, last: bytes, raw: bytes) -> None:
-        """A client has read bytes on a connection without an open request; `last` is the id of its last
-        request."""
-        self.log.add(Rule.ONE_ANSWER, now, proxy, last, "bytes without an open request", raw)
+    def on_unexpected_bytes(self, now: float, proxy: int, last_request_id: bytes, raw: bytes) -> None:
+        """A client has read bytes on a connection without an open request; `last_request_id` is the id of
+        its last request."""
+        self.log.add(Rule.ONE_ANSWER, now, proxy, last_request_id, "bytes without an open request", raw)
 
-    def _was_under_way(self, now: float, request: ObservedRequest) -> bool:
+    def _was_answer_in_flight(self, now: float, request: ObservedRequest) -> bool:
         """Whether an answer that is read now may have been written before the proxy was killed."""
         return request.outcome is RequestOutcome.EXCUSED and now <= request.ended_at + SLACK
 
     def _check_in_time(self, now: float, request: ObservedRequest, raw: bytes) -> None:
-        if now > request.deadline + GRACE + SLACK and not self._was_paused(now, request):
+        if now > request.deadline + GRACE + SLACK and not self._was_suspended(now, request):
             self._report_lost(now, request, f"answered {now - request.deadline:.0f} ms too late", raw)
 
     def _end_unanswered(self, now: float, request: ObservedRequest) -> None:
         is_same_process = self._proxies[request.proxy].is_running_start(request.proxy_start)
-        if not is_same_process or self._was_paused(now, request):
+        if not is_same_process or self._was_suspended(now, request):
             request.end(RequestOutcome.EXCUSED, now)
             return
         request.end(RequestOutcome.ABANDONED, now)
         self.counts["unanswered"] += 1
-        if self._must_answer:
+        if self._unanswered_is_violation:
             self._report_lost(now, request, "no answer before its client gave up")
 
-    def _was_paused(self, now: float, request: ObservedRequest) -> bool:
-        return self._proxies[request.proxy].was_paused_between(request.sent_at, now)
+    def _was_suspended(self, now: float, request: ObservedRequest) -> bool:
+        return self._proxies[request.proxy].was_suspended_between(request.sent_at, now)
 
     def _report_lost(
         self, now: float, request: ObservedRequest, description: str, raw: bytes | None = None
@@ -222,49 +222,53 @@
     # Connections of servers
 
     def on_command_received(
-        self, now: float, first: float, proxy: int, server: str, ident: bytes, raw: bytes
+        self, now: float, first_byte_at: float, proxy: int, server: str, request_id: bytes, raw: bytes
     ) -> ObservedAttempt:
-        """A complete command has reached a cache node or the origin; `first` is the time of its first
+        """A complete command has reached a cache node or the origin; `first_byte_at` is the time of its first
         byte."""
-        attempt = ObservedAttempt(first, server, raw)
+        attempt = ObservedAttempt(first_byte_at, server, raw)
         self.counts["executions"] += 1
-        self._check_drain(now, proxy, ident, attempt)
-        request = self._requests.get(ident)
+        self._check_drain(now, proxy, request_id, attempt)
+        request = self._requests.get(request_id)
         if request is None:
             description = f"sent to {server} although no client requested it"
-            self.log.add(Rule.NO_DUPLICATE_EFFECT, now, proxy, ident, description, raw)
+            self.log.add(Rule.NO_DUPLICATE_EFFECT, now, proxy, request_id, description, raw)
             return attempt
-        self._check_client_is_there(now, request, attempt)
-        self._check_told_deadline(now, request, attempt)
+        self._check_client_is_connected(now, request, attempt)
+        self._check_forwarded_deadline(now, request, attempt)
         self._effects.check_attempt(now, request, attempt)
         request.attempts.append(attempt)
         return attempt
 
-    def _check_client_is_there(self, now: float, request: ObservedRequest, attempt: ObservedAttempt) -> None:
-        if request.outcome is not RequestOutcome.LEFT:
+    def _check_client_is_connected(
+        self, now: float, request: ObservedRequest, attempt: ObservedAttempt
+    ) -> None:
+        if request.outcome is not RequestOutcome.DISCONNECTED:
             return
-        since_left = now - request.ended_at
-        if since_left > CLIENT_LEFT_GRACE_MS + SLACK:
-            description = f"sent to {attempt.server} {since_left:.0f} ms after its client disconnected"
+        since_disconnect = now - request.ended_at
+        if since_disconnect > CLIENT_DISCONNECT_GRACE_MS + SLACK:
+            description = f"sent to {attempt.server} {since_disconnect:.0f} ms after its client disconnected"
             self._report_lost(now, request, description, attempt.raw)
 
-    def _check_told_deadline(self, now: float, request: ObservedRequest, attempt: ObservedAttempt) -> None:
-        told = TOLD_DEADLINE.search(attempt.raw)
-        if told is None or request.outcome is RequestOutcome.EXCUSED:
+    def _check_forwarded_deadline(
+        self, now: float, request: ObservedRequest, attempt: ObservedAttempt
+    ) -> None:
+        match = FORWARDED_DEADLINE.search(attempt.raw)
+        if match is None or request.outcome is RequestOutcome.EXCUSED:
             return
-        time_left = max(request.deadline - now, 0.0)
-        if int(told[1]) > time_left + TOLD_DEADLINE_SLACK_MS + SLACK:
-            description = f"deadline {int(told[1])} ms sent to {attempt.server}, {time_left:.0f} remaining"
+        remaining = max(request.deadline - now, 0.0)
+        if int(match[1]) > remaining + FORWARDED_DEADLINE_SLACK_MS + SLACK:
+            description = f"deadline {int(match[1])} ms sent to {attempt.server}, {remaining:.0f} remaining"
             self._report_lost(now, request, description, attempt.raw)
 
     def on_server_reply(
-        self, now: float, ident: bytes, attempt: ObservedAttempt, word: str, value: bytes = b""
+        self, now: float, request_id: bytes, attempt: ObservedAttempt, reply: str, value: bytes = b""
     ) -> None:
         """A server has written its reply: hit, value or receipt (with the value), miss, pending, busy or
         failed."""
         del now  # every observation passes its time; this one does not need it
-        attempt.on_reply(word)
-        request = self._requests.get(ident)
+        attempt.on_reply(reply)
+        request = self._requests.get(request_id)
         if request and attempt.state is AttemptState.EXECUTED:
             request.values.add(value)
 
@@ -275,8 +279,8 @@
     def _check_drain(self, now: float, proxy: int, request_id: bytes, attempt: ObservedAttempt) -> None:
         draining_since = self._proxies[proxy].draining_since.get(attempt.server)
         if draining_since is not None and attempt.at > draining_since + DRAIN_GRACE_MS + SLACK:
-            late = attempt.at - draining_since
-            description = f"sent to {attempt.server} {late:.0f} ms after notice that it is draining"
+            delay = attempt.at - draining_since
+            description = f"sent to {attempt.server} {delay:.0f} ms after notice that it is draining"
             self.log.add(Rule.DRAIN, now, proxy, request_id, description, attempt.raw)
 
     # Discovery
@@ -295,10 +299,10 @@
     # Load on servers
 
     def on_server_started(
-        self, now: float, server: str, warm_ms: float, capacity: Callable[[float], float]
+        self, now: float, server: str, warmup_ms: float, capacity: Callable[[float], float]
     ) -> None:
         """A server has started with an empty cache; `capacity(now)` is in ms of work per ms."""
-        self._overload.on_server_started(now, server, warm_ms, capacity)
+        self._overload.on_server_started(now, server, warmup_ms, capacity)
 
     def is_warming_up(self, now: float, server: str) -> bool:
         """Whether the server is still warming up."""
@@ -310,10 +314,10 @@
         is_informed = proxy >= 0 and server in self._proxies[proxy].listed_since
         return self._overload.on_server_load(now, proxy, server, work, is_informed)
 
-    def on_origin_load(self, now: float, work: float, cold_miss: bool, span: float) -> None:
-        """Work (ms) has reached the origin. `cold_miss` says that a miss at a server that is warming up
-        caused it; `span` is the time in ms over which the origin's load is measured."""
-        self._overload.on_origin_load(now, work, cold_miss, span)
+    def on_origin_load(self, now: float, work: float, is_warmup_miss: bool, window_ms: float) -> None:
+        """Work (ms) has reached the origin. `is_warmup_miss` says that a miss at a server that is warming up
+        caused it; `window_ms` is the time in ms over which the origin's load is measured."""
+        self._overload.on_origin_load(now, work, is_warmup_miss, window_ms)
 
     def origin_stopped(self, now: float) -> None:
         """The origin failed under its load."""
@@ -330,6 +334,6 @@
                 self._end_unanswered(now, request)
         while self._requests:
             oldest = next(iter(self._requests.values()))
-            if oldest.outcome is None or oldest.ended_at > now - FINISHED_KEPT_MS:
+            if oldest.outcome is None or oldest.ended_at > now - FINISHED_RETENTION_MS:
                 break
             self._requests.popitem(last=False)
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -33,7 +33,7 @@
 LATE_MS = 30.0  # the emulator counts as late above this delay
 MAX_LATE_SHARE = 0.01  # a run in which the emulator was late for a larger share of the time is void
 LATE_MESSAGE = "the emulator itself ran over {:.0f} ms late for {:.1%} of the time"
-MAX_FAULTS_SHOWN = 3  # maximum number of the emulator's own errors in the reason why a run is void
+MAX_ERRORS_SHOWN = 3  # maximum number of the emulator's own errors in the reason why a run is void
 
 START_MARGIN_MS = 100.0  # time from the end of the preparations to the first request
 SNAPSHOT_INTERVAL_S = 0.5
@@ -69,8 +69,8 @@
         self._folder = folder
         self._observer = observer
         self._snapshots: list[Snapshot] = []
-        self._first_index = 0
-        self._first_endpoints: list[ListedEndpoint] = []  # the endpoints at the start of the run
+        self._initial_index = 0
+        self._initial_endpoints: list[ListedEndpoint] = []  # the endpoints at the start of the run
 
     async def play(self) -> RunResult:
         """Play the scenario to its end, and stop all proxies in any case.
@@ -145,15 +145,15 @@
         """Return the index and the endpoints of a proxy's configuration, as `proxies.known` of the scenario
         says."""
         current = self.cluster.endpoints
-        if not self._first_endpoints:
-            self._first_index = current.index
-            self._first_endpoints = list(current.entries.values())
+        if not self._initial_endpoints:
+            self._initial_index = current.index
+            self._initial_endpoints = list(current.entries.values())
         if self.scenario.proxies.known == "now":
             return current.index, list(current.entries.values())
         if self.scenario.proxies.known == "first":
-            return self._first_index, self._first_endpoints
+            return self._initial_index, self._initial_endpoints
         # The origin alone, as if the proxies had been down for days.
-        return 0, [endpoint for endpoint in self._first_endpoints if endpoint.type == "origin"]
+        return 0, [endpoint for endpoint in self._initial_endpoints if endpoint.type == "origin"]
 
     async def _play_load(self, arrivals: list[Arrival]) -> None:
         _suspend_garbage_collection()
@@ -196,11 +196,11 @@
         """Return why the run is void; empty if it is valid."""
         if late_share > MAX_LATE_SHARE:
             return LATE_MESSAGE.format(LATE_MS, late_share)
-        return "; ".join([*self.faults.errors, *self.clock.faults[:MAX_FAULTS_SHOWN]])
+        return "; ".join([*self.faults.errors, *self.clock.faults[:MAX_ERRORS_SHOWN]])
 
     def _result(self) -> RunResult:
         results = self.clients.results
-        begun_late = sorted(result.start_delay_ms for result in results)
+        start_delays = sorted(result.start_delay_ms for result in results)
         late_share = self._lateness.share(LATE_MS)
         return RunResult(
             scenario=self.scenario,
@@ -208,16 +208,16 @@
             broken=self.rule_checker.violations,
             counts=self.rule_checker.counts,
             snapshots=self._snapshots,
-            marks=self.faults.marks,
+            events=self.faults.marks,
             proxies=self.proxies.all,
             late_share=late_share,
-            late_worst=max(self._lateness.lags, default=0.0),
-            late_begin=begun_late[int(len(begun_late) * 0.99)] if begun_late else 0.0,
+            max_lateness_ms=max(self._lateness.lags, default=0.0),
+            start_delay_p99_ms=start_delays[int(len(start_delays) * 0.99)] if start_delays else 0.0,
             void=self._void_reason(late_share),
             origin_stops=self.cluster.origin.core.stops,
             rates=self.rule_checker.log.rates,
-            misbehaving_owed=self.clients.misbehaving.reactions_owed,
-            misbehaving_unpaid=self.clients.misbehaving.reactions_missing,
+            misbehaving_sent=self.clients.misbehaving.reactions_owed,
+            misbehaving_unanswered=self.clients.misbehaving.reactions_missing,
             connections=self.clients.connections,
             logs=str(self._folder),
         )
--- a/lupinladder/emulator/run_result.py
+++ b/lupinladder/emulator/run_result.py
@@ -30,15 +30,15 @@
     broken: list[RuleViolation]  # in the order of detection
     counts: Counter[str]
     snapshots: list[Snapshot]
-    marks: list[tuple[float, str]]  # seconds since the start and a description, for the live view and plots
+    events: list[tuple[float, str]]  # seconds since the start and a description, for the live view and plots
     proxies: list[Managed]
     late_share: float  # share of the time in which the emulator itself was late
-    late_worst: float  # maximum lateness of the emulator in ms
-    late_begin: float  # 99th percentile of the delay with which requests were started, ms
+    max_lateness_ms: float  # maximum lateness of the emulator in ms
+    start_delay_p99_ms: float  # 99th percentile of the delay with which requests were started, ms
     void: str  # why the run is void; empty if it is valid
     origin_stops: int
     rates: dict[str, Counter[int]] = field(default_factory=dict)  # per tenth of a second, over all proxies
-    misbehaving_owed: Counter[str] = field(default_factory=Counter)  # clients sent, by kind
-    misbehaving_unpaid: Counter[str] = field(default_factory=Counter)  # of these, without error or close
+    misbehaving_sent: Counter[str] = field(default_factory=Counter)  # clients sent, by kind
+    misbehaving_unanswered: Counter[str] = field(default_factory=Counter)  # of these, without error or close
     connections: int = 0
     logs: str = ""
--- a/lupinladder/emulator/scenario_constraints.py
+++ b/lupinladder/emulator/scenario_constraints.py
@@ -81,8 +81,8 @@
         _require(objective_holds, f"{path}.aim_ms", "expected above 0 and at most deadline_ms")
         is_safe_write = request_class.write and request_class.repeat == "safe"
         _require(not is_safe_write, f"{path}.repeat", "a write is keyed or unsafe, never safe to repeat")
-        is_new = request_class.name not in names
-        _require(is_new, f"{path}.name", f"{request_class.name!r} is used by an earlier class")
+        is_unique = request_class.name not in names
+        _require(is_unique, f"{path}.name", f"{request_class.name!r} is used by an earlier class")
         names.add(request_class.name)
     total = sum(request_class.share for request_class in classes)
     _require(abs(total - 1) <= MAX_SHARE_ERROR, "classes", "expected shares that add up to 1")
@@ -92,13 +92,13 @@
     starts_at_zero = bool(scenario.load) and scenario.load[0].at == 0
     _require(starts_at_zero, "load", "expected a first step at 0")
     for index, phase in enumerate(scenario.load[1:], 1):
-        is_later = phase.at > scenario.load[index - 1].at
-        _require(is_later, f"load[{index}].at", "expected later than the step before")
+        is_in_order = phase.at > scenario.load[index - 1].at
+        _require(is_in_order, f"load[{index}].at", "expected later than the step before")
 
 
 def _check_fault(path: str, fault: FaultConfig, scenario: Scenario) -> None:
-    is_played = 0 <= fault.at <= scenario.seconds
-    _require(is_played, f"{path}.at", f"{fault.at:g} is outside the {scenario.seconds:g} s of the run")
+    is_within_run = 0 <= fault.at <= scenario.seconds
+    _require(is_within_run, f"{path}.at", f"{fault.at:g} is outside the {scenario.seconds:g} s of the run")
     proxies = scenario.proxies.count
     _require(0 <= fault.proxy < proxies, f"{path}.proxy", f"there are proxies 0 to {proxies - 1}")
     nodes = scenario.fleet.nodes
--- a/tests/emulator/test_proxy_alarms.py
+++ b/tests/emulator/test_proxy_alarms.py
@@ -16,11 +16,13 @@
 """
 
 
-class Alarms(TestCase):
-    def test_defects_are_found_and_late_answers_of_stopped_processes_excused(self) -> None:
+class ProxyAlarms(TestCase):
+    def test_defects_are_found_and_late_answers_of_suspended_processes_are_excused(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "proxy-1.log"
             path.write_text(LOG)
-            for stops, count in ((False, 4), (True, 2)):
-                with self.subTest(stops=stops):
-                    self.assertEqual(len(read_alarms([path, path.with_name("none")], stops)), count)
+            for suspends_processes, count in ((False, 4), (True, 2)):
+                with self.subTest(suspends_processes=suspends_processes):
+                    self.assertEqual(
+                        len(read_alarms([path, path.with_name("none")], suspends_processes)), count
+                    )
--- a/tests/emulator/test_report.py
+++ b/tests/emulator/test_report.py
@@ -10,7 +10,7 @@
 
 
 class Statistics(TestCase):
-    def test_a_stalled_proxy_is_charged_for_what_would_have_come_meanwhile(self) -> None:
+    def test_percentiles_include_the_requests_that_were_due_while_a_proxy_stalled(self) -> None:
         """Latency is measured from the intended time, which avoids coordinated omission."""
         results = [Result(n / 100, 0, "served", max(5.0, 500 - n * 10), 1, 0) for n in range(100)]
         self.assertGreater(result_statistics.latency_percentiles(results)["p90"], 400)
@@ -19,8 +19,8 @@
         )
 
 
-class Comparing(TestCase):
-    def test_a_change_is_clear_only_if_the_ranges_of_repeats_do_not_meet(self) -> None:
+class Comparison(TestCase):
+    def test_a_change_is_clear_only_if_the_ranges_of_repeats_do_not_overlap(self) -> None:
         def reports(*shares: float) -> list[dict[str, Any]]:
             return [{"share": share} for share in shares]
 
@@ -34,6 +34,6 @@
 
 
 class ExitCodes(TestCase):
-    def test_a_void_run_a_broken_rule_and_a_good_run_have_codes_of_their_own(self) -> None:
+    def test_void_runs_broken_rules_and_kept_rules_have_different_exit_codes(self) -> None:
         for void, kept, code in [("late", False, 3), ("", False, 1), ("", True, 0)]:
             self.assertEqual(report.exit_code({"void": void, "kept": kept}), code)
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -22,32 +22,32 @@
 def short_scenario(seconds: float, rate: float, *faults: FaultConfig, **settings: Any) -> Scenario:
     """Return a scenario; `settings` are its values, or with the form `part__name` values of one of its
     parts."""
-    played = Scenario(seconds, [LoadPhase(0, rate)], lead_s=0.5, faults=list(faults))
+    scenario = Scenario(seconds, [LoadPhase(0, rate)], lead_s=0.5, faults=list(faults))
     for path, value in settings.items():
         part, _, name = path.partition("__")
-        setattr(getattr(played, part) if name else played, name or part, value)
-    played.check()
-    return played
+        setattr(getattr(scenario, part) if name else scenario, name or part, value)
+    scenario.check()
+    return scenario
 
 
-def outcome_of(played: Scenario, folder: Path | None = None) -> RunResult:
+def outcome_of(scenario: Scenario, folder: Path | None = None) -> RunResult:
     """Return the result of the first run that is not void. If the machine was late in every run, nothing is
     known about the proxy and the test is skipped. An error of the emulator itself fails the test."""
     for _ in range(MAX_VOID_RUNS):
-        outcome = run.play(played, folder)
-        if not outcome.void:
-            return outcome
-    if outcome.void.startswith(LATE_MESSAGE.partition("{")[0]):
-        raise SkipTest(outcome.void)
-    raise AssertionError(outcome.void)
+        result = run.play(scenario, folder)
+        if not result.void:
+            return result
+    if result.void.startswith(LATE_MESSAGE.partition("{")[0]):
+        raise SkipTest(result.void)
+    raise AssertionError(result.void)
 
 
-def report_of(played: Scenario) -> dict[str, Any]:
-    return report.figures(outcome_of(played))
+def report_of(scenario: Scenario) -> dict[str, Any]:
+    return report.figures(outcome_of(scenario))
 
 
 class VoidRuns(TestCase):
-    def test_a_late_machine_skips_the_test_and_a_fault_of_the_emulator_fails_it(self) -> None:
+    def test_a_late_machine_skips_the_test_and_an_error_of_the_emulator_fails_it(self) -> None:
         for void, raised in [(LATE_MESSAGE.format(30, 0.013), SkipTest), ("an error", AssertionError)]:
             with mock.patch.object(run, "play", return_value=mock.Mock(void=void)), self.assertRaises(raised):
                 report_of(CASES["restarts"])
@@ -121,15 +121,15 @@
 
 
 class Faults(TestCase):
-    def test_the_proxy_keeps_the_rules_under_each_kind(self) -> None:
-        for name, played in CASES.items():
+    def test_proxies_keep_the_rules_under_each_kind_of_fault(self) -> None:
+        for name, scenario in CASES.items():
             with self.subTest(name):
-                tree = report_of(played)
+                tree = report_of(scenario)
                 self.assertTrue(tree["kept"], tree["broken"])
                 answered = sum(tree["outcomes"].get(outcome, 0) for outcome in ("served", "late"))
                 self.assertGreater(answered, tree["asked"] / 2)
                 self.assertFalse(tree["hostile"]["unpaid"])
-                if played.misbehaving_clients:
+                if scenario.misbehaving_clients:
                     self.assertGreater(sum(tree["hostile"]["owed"].values()), 30)
 
 
@@ -138,37 +138,37 @@
 
     SEEDS = (3, 4, 5, 6, 7)
 
-    def test_overlapping_troubles_break_no_rule_and_no_invariant(self) -> None:
+    def test_overlapping_faults_break_no_rule_and_no_invariant(self) -> None:
         for seed in self.SEEDS:
             with self.subTest(seed=seed), tempfile.TemporaryDirectory() as folder:
-                outcome = outcome_of(make_scenario(seed, proxies=6, seconds=9), Path(folder))
-                alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), stops_processes=True)
-                self.assertEqual(([str(one) for one in outcome.broken], alarms), ([], []))
-                self.assertGreater(outcome.counts["served"], outcome.counts["taken"] / 2)
+                result = outcome_of(make_scenario(seed, proxies=6, seconds=9), Path(folder))
+                alarms = read_alarms((proxy.log_path for proxy in result.proxies), stops_processes=True)
+                self.assertEqual(([str(violation) for violation in result.broken], alarms), ([], []))
+                self.assertGreater(result.counts["served"], result.counts["taken"] / 2)
 
 
-class PlantedFaults(TestCase):
+class InjectedDefects(TestCase):
     """The rule checker detects a proxy with an injected defect by the rule that the defect breaks."""
 
-    def broken_rules(self, fault: str, played: Scenario) -> dict[str, int]:
-        played.proxies.command = [sys.executable, "-m", "tests.emulator.faulty_proxy", fault]
-        rules: dict[str, int] = report_of(played)["rules"]
+    def broken_rules(self, defect: str, scenario: Scenario) -> dict[str, int]:
+        scenario.proxies.command = [sys.executable, "-m", "tests.emulator.faulty_proxy", defect]
+        rules: dict[str, int] = report_of(scenario)["rules"]
         return rules
 
-    def test_a_request_that_is_not_idempotent_is_sent_twice(self) -> None:
+    def test_sending_a_request_twice_that_is_not_idempotent_is_detected(self) -> None:
         rules = self.broken_rules("double", short_scenario(3, 100))
         self.assertGreater(rules["effect"], 3)
 
-    def test_answers_are_lost(self) -> None:
+    def test_lost_answers_are_detected(self) -> None:
         rules = self.broken_rules("lose", short_scenario(3, 100))
         self.assertGreater(rules["lost"], 3)
 
-    def test_requests_are_sent_to_a_leaving_node(self) -> None:
-        played = short_scenario(
+    def test_requests_to_a_draining_node_are_detected(self) -> None:
+        scenario = short_scenario(
             7, 60, FaultConfig("deploy", 0, 1, 0.3, 0.3, 6.5), discovery__notice_s=(0.1, 0.3)
         )
-        self.assertGreater(self.broken_rules("stale", played)["drain"], 3)
+        self.assertGreater(self.broken_rules("stale", scenario)["drain"], 3)
 
-    def test_a_node_that_warms_up_is_overloaded(self) -> None:
-        played = short_scenario(6, 120, FaultConfig("grow", 0, part=0.1), discovery__notice_s=(0.1, 0.3))
-        self.assertGreater(self.broken_rules("flood", played)["cold"], 0)
+    def test_overload_of_a_warming_node_is_detected(self) -> None:
+        scenario = short_scenario(6, 120, FaultConfig("grow", 0, part=0.1), discovery__notice_s=(0.1, 0.3))
+        self.assertGreater(self.broken_rules("flood", scenario)["cold"], 0)
--- a/tests/emulator/test_soak_plan.py
+++ b/tests/emulator/test_soak_plan.py
@@ -6,29 +6,29 @@
 
 import msgspec
 
-from lupinladder.emulator.soak_plan import CLUSTER_SPREAD_S, ENDINGS, HARDSHIPS, make_scenario
+from lupinladder.emulator.soak_plan import DISRUPTIONS, GROUP_SPREAD_S, LIFECYCLE_FAULTS, make_scenario
 
 SEEDS = range(1, 60)
 
 
 class Plan(TestCase):
-    def test_the_same_seed_gives_the_same_scenario_and_another_one_another(self) -> None:
+    def test_each_seed_yields_one_scenario_that_differs_from_those_of_other_seeds(self) -> None:
         texts = [msgspec.json.encode(make_scenario(seed)) for seed in (*SEEDS, *SEEDS)]
         self.assertEqual(len(set(texts)), len(SEEDS))
 
-    def test_each_seed_overlaps_an_ending_with_something_that_makes_it_hard(self) -> None:
-        endings = {trouble.kind for trouble in ENDINGS}
-        played = set[str]()
+    def test_each_seed_overlaps_a_lifecycle_fault_with_a_disruption(self) -> None:
+        lifecycle_kinds = {template.kind for template in LIFECYCLE_FAULTS}
+        played_kinds = set[str]()
         for seed in SEEDS:
             faults = make_scenario(seed).faults
-            played |= {fault.kind for fault in faults}
+            played_kinds |= {fault.kind for fault in faults}
             overlaps = [
-                (one.kind, other.kind)
-                for one in faults
+                (first.kind, other.kind)
+                for first in faults
                 for other in faults
-                if one.kind in endings
-                and other.kind not in endings
-                and abs(one.at - other.at) <= CLUSTER_SPREAD_S
+                if first.kind in lifecycle_kinds
+                and other.kind not in lifecycle_kinds
+                and abs(first.at - other.at) <= GROUP_SPREAD_S
             ]
             self.assertTrue(overlaps, seed)
-        self.assertEqual(played, endings | {trouble.kind for trouble in HARDSHIPS})
+        self.assertEqual(played_kinds, lifecycle_kinds | {template.kind for template in DISRUPTIONS})
