--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -103,7 +103,7 @@
     clock = Clock()
     keys = KeyDistribution(scenario.seed, scenario.clients)
     rule_checker = RuleChecker(scenario.classes, 1, clock.now())
-    rule_checker.proxy_up(clock.now(), 0)
+    rule_checker.proxy_started(clock.now(), 0)
     cluster = Cluster(clock, scenario, keys, rule_checker, [0])
     cluster.open()
     await asyncio.sleep(SETTLE_S)
--- a/lupinladder/cli/emulator/soak.py
+++ b/lupinladder/cli/emulator/soak.py
@@ -49,8 +49,8 @@
 def _play_seed(scenario: Scenario, output: OutputOptions, folder: Path) -> dict[str, Any]:
     outcome = play(scenario, output.quiet, output.logs_of(scenario.seed) or folder)
     tree = report.figures(outcome)
-    stops_processes = any(fault.kind == "freeze" for fault in scenario.faults)
-    alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), stops_processes)
+    suspends_processes = any(fault.kind == "freeze" for fault in scenario.faults)
+    alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), suspends_processes)
     code = report.exit_code(tree)
     if code is report.ExitCode.RULES_KEPT and alarms:
         code = report.ExitCode.RULE_BROKEN
--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -119,7 +119,7 @@
         proxy.is_ready = True
         if proxy.needs_reload:
             self._clock.at(self._clock.now() + RELOAD_DELAY_MS, partial(self.hup, proxy))
-        self._rule_checker.proxy_up(self._clock.now(), proxy.number)
+        self._rule_checker.proxy_started(self._clock.now(), proxy.number)
         self.on_up(proxy.number)
 
     def _environment(self, proxy: Managed, config_path: Path) -> dict[str, str]:
@@ -182,10 +182,10 @@
         if process is None:
             return
         if still:
-            self._rule_checker.proxy_frozen(self._clock.now(), proxy.number)
+            self._rule_checker.proxy_suspended(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGSTOP)
         else:
-            self._rule_checker.proxy_thawed(self._clock.now(), proxy.number)
+            self._rule_checker.proxy_resumed(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGCONT)
 
     def hup(self, proxy: Managed) -> None:
--- a/lupinladder/emulator/proxy_alarms.py
+++ b/lupinladder/emulator/proxy_alarms.py
@@ -18,8 +18,8 @@
 EXCUSED_WHILE_SUSPENDED = ("answered_in_time", "request_overdue")
 
 
-def read_alarms(logs: Iterable[Path], stops_processes: bool) -> list[str]:
-    """Return the lines that report a defect, each with its log's name. `stops_processes` says that the run
+def read_alarms(logs: Iterable[Path], suspends_processes: bool) -> list[str]:
+    """Return the lines that report a defect, each with its log's name. `suspends_processes` says that the run
     suspended proxies, so late answers are excused."""
     alarms = list[str]()
     for path in logs:
@@ -28,7 +28,7 @@
         for line in path.read_text(errors="replace").splitlines():
             if not (ALARM.match(line) or CRASH.match(line)):
                 continue
-            if stops_processes and any(name in line for name in EXCUSED_WHILE_SUSPENDED):
+            if suspends_processes and any(name in line for name in EXCUSED_WHILE_SUSPENDED):
                 continue
             alarms.append(f"{path.stem}: {line}")
     return alarms
--- a/lupinladder/emulator/rule_checker.py
+++ b/lupinladder/emulator/rule_checker.py
@@ -68,7 +68,7 @@
 
     # Processes of the proxies
 
-    def proxy_up(self, now: float, proxy: int) -> None:
+    def proxy_started(self, now: float, proxy: int) -> None:
         """The proxy answered PING after a start."""
         del now  # every observation passes its time; this one does not need it
         self._proxies[proxy].on_started()
@@ -80,12 +80,12 @@
             if request.outcome is None and request.proxy == proxy:
                 request.end(RequestOutcome.EXCUSED, now)
 
-    def proxy_frozen(self, now: float, proxy: int) -> None:
+    def proxy_suspended(self, now: float, proxy: int) -> None:
         """The emulator sent SIGSTOP. No answer is due in time for requests that are open meanwhile; all
         other rules apply."""
         self._proxies[proxy].on_suspended(now)
 
-    def proxy_thawed(self, now: float, proxy: int) -> None:
+    def proxy_resumed(self, now: float, proxy: int) -> None:
         """The emulator sent SIGCONT."""
         self._proxies[proxy].on_resumed(now)
 
--- a/tests/emulator/test_rule_checker.py
+++ b/tests/emulator/test_rule_checker.py
@@ -20,8 +20,8 @@
 
     def __init__(self) -> None:
         self.checker = RuleChecker(Scenario(1, []).classes, 2, 0.0)
-        self.checker.proxy_up(0, 0)
-        self.checker.proxy_up(0, 1)
+        self.checker.proxy_started(0, 0)
+        self.checker.proxy_started(0, 1)
 
     def client_sends(
         self, now: float, request_id: str, request_class: int = READ, timeout_ms: float = 500
