--- a/lupinladder/emulator/client_attempt.py
+++ b/lupinladder/emulator/client_attempt.py
@@ -124,7 +124,7 @@
     def _leave(self) -> None:
         if self.is_over or self.connection is None:
             return
-        self._pool.rule_checker.on_client_left(self._pool.clock.now(), self.request_id)
+        self._pool.rule_checker.on_client_disconnected(self._pool.clock.now(), self.request_id)
         self.finish(ClientReply(ClientOutcome.UNANSWERED))
         self.connection.close()
 
--- a/lupinladder/emulator/rule_checker.py
+++ b/lupinladder/emulator/rule_checker.py
@@ -178,7 +178,7 @@
         if request and request.outcome is None:
             self._end_unanswered(now, request)
 
-    def on_client_left(self, now: float, request_id: bytes) -> None:
+    def on_client_disconnected(self, now: float, request_id: bytes) -> None:
         """The client has disconnected before it had to give up: no answer is due, and no attempt may
         start."""
         request = self._requests.get(request_id)
--- a/tests/emulator/test_rule_checker.py
+++ b/tests/emulator/test_rule_checker.py
@@ -58,13 +58,13 @@
 
 def sent_after_client_disconnected(observed: Observations) -> None:
     observed.client_sends(0, "a")
-    observed.checker.on_client_left(100, b"a")
+    observed.checker.on_client_disconnected(100, b"a")
     observed.server_receives(100 + 160, "a")
 
 
 def sent_while_client_disconnected(observed: Observations) -> None:
     observed.client_sends(0, "a")
-    observed.checker.on_client_left(100, b"a")
+    observed.checker.on_client_disconnected(100, b"a")
     observed.server_receives(100 + 140, "a")
 
 
