--- a/lupinladder/emulator/client_attempt.py
+++ b/lupinladder/emulator/client_attempt.py
@@ -10,14 +10,14 @@
 
 from lupinladder.emulator.client_reply import ClientOutcome, ClientReply
 from lupinladder.emulator.resp_encoding import encode_command
-from lupinladder.emulator.rule_checker import GRACE, SLACK
+from lupinladder.emulator.rule_checker import ANSWER_GRACE_MS, SLACK_MS
 
 if TYPE_CHECKING:
     from lupinladder.emulator.client_connection import ClientConnection
     from lupinladder.emulator.client_pool import ClientPool
 
 MIN_REMAINING_TIME_MS = 5.0  # a client with less time left does not begin to send
-LISTENING_AFTER_TIMEOUT_MS = GRACE + SLACK + 5.0  # so that a late reply is seen
+LISTENING_AFTER_TIMEOUT_MS = ANSWER_GRACE_MS + SLACK_MS + 5.0  # so that a late reply is seen
 
 
 @dataclass(frozen=True, slots=True)
--- a/lupinladder/emulator/rule_checker.py
+++ b/lupinladder/emulator/rule_checker.py
@@ -25,8 +25,8 @@
 from lupinladder.emulator.rule_violation import Rule, RuleViolation, ViolationLog
 from lupinladder.emulator.scenario import RequestClassConfig
 
-SLACK = 50.0  # ms added to each time limit, as times are measured at the sockets
-GRACE = 20.0  # ms after the client's deadline within which an answer is still in time
+SLACK_MS = 50.0  # ms added to each time limit, as times are measured at the sockets
+ANSWER_GRACE_MS = 20.0  # ms after the client's deadline within which an answer is still in time
 DRAIN_GRACE_MS = 1500.0  # grace period after discovery has sent that a server is draining
 SHUTDOWN_GRACE_MS = 700.0  # a request that arrives within this time after SIGTERM must still be answered
 CLIENT_DISCONNECT_GRACE_MS = 100.0  # after its client disconnects, an attempt may still be sent this long
@@ -49,7 +49,7 @@
         self._requests: OrderedDict[bytes, ObservedRequest] = OrderedDict()
         self._open_requests: deque[ObservedRequest] = deque()
         self._proxies = [ObservedProxy() for _ in range(proxies)]
-        self._effects = EffectChecker(self.log, classes, SLACK)
+        self._effects = EffectChecker(self.log, classes, SLACK_MS)
         self._overload = OverloadChecker(self.log)
 
     @property
@@ -193,10 +193,10 @@
 
     def _was_answer_in_flight(self, now: float, request: ObservedRequest) -> bool:
         """Whether an answer that is read now may have been written before the proxy was killed."""
-        return request.outcome is RequestOutcome.EXCUSED and now <= request.ended_at + SLACK
+        return request.outcome is RequestOutcome.EXCUSED and now <= request.ended_at + SLACK_MS
 
     def _check_in_time(self, now: float, request: ObservedRequest, raw: bytes) -> None:
-        if now > request.deadline + GRACE + SLACK and not self._was_suspended(now, request):
+        if now > request.deadline + ANSWER_GRACE_MS + SLACK_MS and not self._was_suspended(now, request):
             self._report_lost(now, request, f"answered {now - request.deadline:.0f} ms too late", raw)
 
     def _end_unanswered(self, now: float, request: ObservedRequest) -> None:
@@ -246,7 +246,7 @@
         if request.outcome is not RequestOutcome.DISCONNECTED:
             return
         since_disconnect = now - request.ended_at
-        if since_disconnect > CLIENT_DISCONNECT_GRACE_MS + SLACK:
+        if since_disconnect > CLIENT_DISCONNECT_GRACE_MS + SLACK_MS:
             description = f"sent to {attempt.server} {since_disconnect:.0f} ms after its client disconnected"
             self._report_lost(now, request, description, attempt.raw)
 
@@ -257,7 +257,7 @@
         if match is None or request.outcome is RequestOutcome.EXCUSED:
             return
         remaining = max(request.deadline - now, 0.0)
-        if int(match[1]) > remaining + FORWARDED_DEADLINE_SLACK_MS + SLACK:
+        if int(match[1]) > remaining + FORWARDED_DEADLINE_SLACK_MS + SLACK_MS:
             description = f"deadline {int(match[1])} ms sent to {attempt.server}, {remaining:.0f} remaining"
             self._report_lost(now, request, description, attempt.raw)
 
@@ -278,7 +278,7 @@
 
     def _check_drain(self, now: float, proxy: int, request_id: bytes, attempt: ObservedAttempt) -> None:
         draining_since = self._proxies[proxy].draining_since.get(attempt.server)
-        if draining_since is not None and attempt.at > draining_since + DRAIN_GRACE_MS + SLACK:
+        if draining_since is not None and attempt.at > draining_since + DRAIN_GRACE_MS + SLACK_MS:
             delay = attempt.at - draining_since
             description = f"sent to {attempt.server} {delay:.0f} ms after notice that it is draining"
             self.log.add(Rule.DRAIN, now, proxy, request_id, description, attempt.raw)
@@ -330,7 +330,10 @@
         while self._open_requests and self._open_requests[0].outcome is not None:
             self._open_requests.popleft()
         for request in self._open_requests:
-            if request.outcome is None and now > request.deadline + GRACE + SLACK + SWEEP_MARGIN_MS:
+            if (
+                request.outcome is None
+                and now > request.deadline + ANSWER_GRACE_MS + SLACK_MS + SWEEP_MARGIN_MS
+            ):
                 self._end_unanswered(now, request)
         while self._requests:
             oldest = next(iter(self._requests.values()))
