--- a/lupinladder/cli/emulator/restart_recovery.py
+++ b/lupinladder/cli/emulator/restart_recovery.py
@@ -47,7 +47,7 @@
     """
     rows = []
     for seed in parse_seeds(seeds):
-        scenario = restart_recovery.scenario(proxies, kill, store, discovery, seed)
+        scenario = restart_recovery.make_scenario(proxies, kill, store, discovery, seed)
         outcome = play(scenario, output.quiet, output.logs_of(seed))
         row = restart_recovery.figures(outcome)
         console.print(_row_text(row))
@@ -57,7 +57,7 @@
     if output.plot_path:
         from lupinladder.emulator.plot import draw_restart_recovery  # matplotlib takes long to import
 
-        draw_restart_recovery(tree, restart_recovery.KILLED_S, output.plot_path)
+        draw_restart_recovery(tree, restart_recovery.KILLED_AT_S, output.plot_path)
     console.print(restart_recovery_table.show(tree))
     sys.exit(restart_recovery.exit_code(tree["summary"]))
 
--- a/lupinladder/emulator/restart_recovery.py
+++ b/lupinladder/emulator/restart_recovery.py
@@ -24,7 +24,7 @@
 """How discovery works around the kill."""
 
 SECONDS = 17.0  # length of a run
-KILLED_S = 6.0  # time at which the proxies are killed
+KILLED_AT_S = 6.0  # time at which the proxies are killed
 DOWNTIME_S = 1.2  # time from the kill until they are started again
 BASELINE_START_S = 2.0  # the time from here to the kill is the baseline
 FULL_SERVICE_MARGIN = 0.02  # by which the share in time may be below the baseline
@@ -36,7 +36,7 @@
 LOST_AND_LATE = ("late", "refused", "failed", "unanswered")
 
 
-def scenario(
+def make_scenario(
     proxies: int, kill: float, store: StoreCondition, discovery: DiscoveryCondition, seed: int
 ) -> Scenario:
     """Return the scenario in which a share `kill` of the proxies is killed.
@@ -46,7 +46,7 @@
     request.
     """
     has_store = store != "none"
-    faults = [FaultConfig("kill-many", KILLED_S, DOWNTIME_S, kill, how=store if has_store else "")]
+    faults = [FaultConfig("kill-many", KILLED_AT_S, DOWNTIME_S, kill, how=store if has_store else "")]
     run_scenario = Scenario(SECONDS, [LoadPhase(0, REQUESTS_PER_S * proxies)], seed=seed)
     run_scenario.faults = _discovery_faults(discovery) + faults
     run_scenario.about = (
@@ -59,11 +59,11 @@
 
 def _discovery_faults(discovery: DiscoveryCondition) -> list[FaultConfig]:
     if discovery == "down":
-        return [FaultConfig("list-down", KILLED_S - 0.5, 5.0)]
+        return [FaultConfig("list-down", KILLED_AT_S - 0.5, 5.0)]
     if discovery == "late":  # meanwhile nodes are also replaced at their old addresses
         return [
-            FaultConfig("late-list", KILLED_S - 3, 8.0, size=1.5),
-            FaultConfig("deploy", KILLED_S - 1, 5.0, part=0.25, batch=0.09, drain_s=3.0, reuse=True),
+            FaultConfig("late-list", KILLED_AT_S - 3, 8.0, size=1.5),
+            FaultConfig("deploy", KILLED_AT_S - 1, 5.0, part=0.25, batch=0.09, drain_s=3.0, reuse=True),
         ]
     return []
 
@@ -92,8 +92,8 @@
         return sum(self._in_time[start:end]) / max(sum(self._requested[start:end]), 1e-9)
 
 
-def full_after(
-    results: Sequence[Result], run_scenario: Scenario, killed_at: float = KILLED_S
+def time_to_full_service(
+    results: Sequence[Result], run_scenario: Scenario, killed_at: float = KILLED_AT_S
 ) -> float | None:
     """Return the seconds from the kill to full service, or None if full service was not reached.
 
@@ -110,7 +110,7 @@
     return None
 
 
-def highest(rate: Counter[int], start: float, end: float) -> int:
+def highest_rate(rate: Counter[int], start: float, end: float) -> int:
     """Return the highest count within one second between `start` and `end` (s). `rate` counts per tenth of
     a second, and the second may start at any of them."""
     first_step = round(start * STEPS_PER_S)
@@ -128,7 +128,7 @@
     run_scenario = run_result.scenario
     run_report = report.figures(run_result)
     rates = {name: run_result.rates.get(name, Counter()) for name in RATES}
-    after_kill = [result for result in run_result.results if result.at >= KILLED_S]
+    after_kill = [result for result in run_result.results if result.at >= KILLED_AT_S]
     return {
         "seed": run_scenario.seed,
         "void": run_result.void,
@@ -136,12 +136,12 @@
         "rules": run_report["rules"],
         "broken": run_report["broken"],
         "share": run_report["share"],
-        "full_after_s": full_after(run_result.results, run_scenario),
+        "full_after_s": time_to_full_service(run_result.results, run_scenario),
         "outcomes": count_outcomes(after_kill, run_scenario.classes),
         "highest": {
             name: {
-                "before": highest(rate, BASELINE_START_S, KILLED_S),
-                "after": highest(rate, KILLED_S, run_scenario.seconds),
+                "before": highest_rate(rate, BASELINE_START_S, KILLED_AT_S),
+                "after": highest_rate(rate, KILLED_AT_S, run_scenario.seconds),
             }
             for name, rate in rates.items()
         },
@@ -162,7 +162,7 @@
 def summary(runs: Sequence[dict[str, Any]]) -> dict[str, Any]:
     """Summarize the valid runs: median and worst time to full service, outcomes, and the highest rates."""
     valid = [run for run in runs if not run["void"]]
-    times = [SECONDS - KILLED_S if run["full_after_s"] is None else run["full_after_s"] for run in valid]
+    times = [SECONDS - KILLED_AT_S if run["full_after_s"] is None else run["full_after_s"] for run in valid]
     return {
         "runs": len(runs),
         "void": len(runs) - len(valid),
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -224,7 +224,7 @@
 
 class Measurements(TestCase):
     def test_full_service_starts_when_the_next_two_seconds_are_normal(self) -> None:
-        measured_scenario = restart_recovery.scenario(4, 0.5, "kept", "up", 1)
+        measured_scenario = restart_recovery.make_scenario(4, 0.5, "kept", "up", 1)
 
         def results(failing_span: tuple[float, float]) -> list[Result]:
             times = [n / 50 for n in range(round(measured_scenario.seconds * 50))]
@@ -233,19 +233,21 @@
                 for at in times
             ]
 
-        killed = restart_recovery.KILLED_S
+        killed = restart_recovery.KILLED_AT_S
         self.assertAlmostEqual(
-            restart_recovery.full_after(results((killed, killed + 3)), measured_scenario) or 0,
+            restart_recovery.time_to_full_service(results((killed, killed + 3)), measured_scenario) or 0,
             3.0,
             delta=0.06,
         )
-        self.assertEqual(restart_recovery.full_after(results((0, 0)), measured_scenario), 0.0)
+        self.assertEqual(restart_recovery.time_to_full_service(results((0, 0)), measured_scenario), 0.0)
         self.assertIsNone(
-            restart_recovery.full_after(results((killed, measured_scenario.seconds)), measured_scenario)
+            restart_recovery.time_to_full_service(
+                results((killed, measured_scenario.seconds)), measured_scenario
+            )
         )
 
     def test_the_highest_second_may_start_at_any_tenth_of_a_second(self) -> None:
         rate = Counter({15: 4, 24: 5, 40: 1})
-        self.assertEqual(restart_recovery.highest(rate, 0, 5), 9)
-        self.assertEqual(restart_recovery.highest(rate, 3, 5), 1)
-        self.assertEqual(restart_recovery.highest(rate, 9, 9.5), 0)
+        self.assertEqual(restart_recovery.highest_rate(rate, 0, 5), 9)
+        self.assertEqual(restart_recovery.highest_rate(rate, 3, 5), 1)
+        self.assertEqual(restart_recovery.highest_rate(rate, 9, 9.5), 0)
