--- a/lupinladder/cli/emulator/soak.py
+++ b/lupinladder/cli/emulator/soak.py
@@ -61,7 +61,7 @@
         "share": tree["share"],
         "counts": dict(sorted(outcome.counts.items())),
         "faults": [f"{fault.kind}@{fault.at:g}" for fault in scenario.faults],
-        "broken": [str(violation) for violation in outcome.broken],
+        "broken": [str(violation) for violation in outcome.violations],
         "alarms": alarms,
     }
 
--- a/lupinladder/emulator/report.py
+++ b/lupinladder/emulator/report.py
@@ -74,12 +74,12 @@
 
 
 def _verdict(run_result: RunResult) -> dict[str, Any]:
-    counts = Counter(violation.rule for violation in run_result.broken)
+    counts = Counter(violation.rule for violation in run_result.violations)
     return {
         "void": run_result.void,
-        "kept": not run_result.broken,
+        "kept": not run_result.violations,
         "rules": {rule.value: counts[rule] for rule in Rule},
-        "broken": [str(violation) for violation in run_result.broken[:MAX_VIOLATIONS]],
+        "broken": [str(violation) for violation in run_result.violations[:MAX_VIOLATIONS]],
     }
 
 
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -205,7 +205,7 @@
         return RunResult(
             scenario=self.scenario,
             results=[result for result in results if result.at >= 0],
-            broken=self.rule_checker.violations,
+            violations=self.rule_checker.violations,
             counts=self.rule_checker.counts,
             snapshots=self._snapshots,
             events=self.faults.marks,
--- a/lupinladder/emulator/run_result.py
+++ b/lupinladder/emulator/run_result.py
@@ -27,7 +27,7 @@
 
     scenario: Scenario
     results: list[Result]
-    broken: list[RuleViolation]  # in the order of detection
+    violations: list[RuleViolation]  # in the order of detection
     counts: Counter[str]
     snapshots: list[Snapshot]
     events: list[tuple[float, str]]  # seconds since the start and a description, for the live view and plots
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -143,7 +143,7 @@
             with self.subTest(seed=seed), tempfile.TemporaryDirectory() as folder:
                 result = outcome_of(make_scenario(seed, proxies=6, seconds=9), Path(folder))
                 alarms = read_alarms((proxy.log_path for proxy in result.proxies), suspends_processes=True)
-                self.assertEqual(([str(violation) for violation in result.broken], alarms), ([], []))
+                self.assertEqual(([str(violation) for violation in result.violations], alarms), ([], []))
                 self.assertGreater(result.counts["served"], result.counts["taken"] / 2)
 
 
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -60,7 +60,7 @@
         for store_condition in ("kept", "old", "lost", "torn"):
             with self.subTest(store_condition):
                 result = outcome_of(kill_scenario(store_condition))
-                self.assertFalse(result.broken)
+                self.assertFalse(result.violations)
                 outcomes = outcomes_from(result.results, KILLED_AT_S + RESTARTED_AFTER_S + 1.0)
                 shares[store_condition] = outcomes["served"] / sum(outcomes.values())
         for store_condition, low, high in (
@@ -79,7 +79,7 @@
         scenario = kill_scenario("swapped", second_kill, discovery_down=False)
         scenario.seconds = 8.5  # the proxies restart at 5.3 s; each polls discovery within 1.9 s of its start
         result = outcome_of(scenario)
-        self.assertFalse(result.broken)
+        self.assertFalse(result.violations)
         outcomes = outcomes_from(result.results, 7.5)
         self.assertGreater(outcomes["served"], 0.85 * sum(outcomes.values()))
         self.assertGreater(max(proxy.starts for proxy in result.proxies), 1)
@@ -100,7 +100,7 @@
         result = outcome_of(scenario)
         # Requests that arrive when the proxies resume may be lost behind their backlog. The test is about
         # decisions on stale lists, so it ignores this rule.
-        self.assertEqual([str(violation) for violation in result.broken if violation.rule != "lost"], [])
+        self.assertEqual([str(violation) for violation in result.violations if violation.rule != "lost"], [])
 
 
 class OperatorsFile(TestCase):
