--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -30,7 +30,7 @@
     return scenario
 
 
-def outcome_of(scenario: Scenario, folder: Path | None = None) -> RunResult:
+def first_valid_result(scenario: Scenario, folder: Path | None = None) -> RunResult:
     """Return the result of the first run that is not void. If the machine was late in every run, nothing is
     known about the proxy and the test is skipped. An error of the emulator itself fails the test."""
     for _ in range(MAX_VOID_RUNS):
@@ -43,7 +43,7 @@
 
 
 def report_of(scenario: Scenario) -> dict[str, Any]:
-    return report.figures(outcome_of(scenario))
+    return report.figures(first_valid_result(scenario))
 
 
 class VoidRuns(TestCase):
@@ -141,7 +141,7 @@
     def test_overlapping_faults_break_no_rule_and_no_invariant(self) -> None:
         for seed in self.SEEDS:
             with self.subTest(seed=seed), tempfile.TemporaryDirectory() as folder:
-                result = outcome_of(make_scenario(seed, proxies=6, seconds=9), Path(folder))
+                result = first_valid_result(make_scenario(seed, proxies=6, seconds=9), Path(folder))
                 alarms = read_alarms((proxy.log_path for proxy in result.proxies), suspends_processes=True)
                 self.assertEqual(([str(violation) for violation in result.violations], alarms), ([], []))
                 self.assertGreater(result.counts["served"], result.counts["taken"] / 2)
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -24,7 +24,7 @@
 from lupinladder.emulator.scenario import FaultConfig, LoadPhase, ProxiesConfig, Scenario
 from lupinladder.net.log import log_event
 from lupinladder.store import file_store, records
-from tests.emulator.test_runs import outcome_of
+from tests.emulator.test_runs import first_valid_result
 
 KILLED_AT_S = 3.0
 RESTARTED_AFTER_S = 0.8
@@ -59,7 +59,7 @@
         shares = {}
         for store_condition in ("kept", "old", "lost", "torn"):
             with self.subTest(store_condition):
-                result = outcome_of(kill_scenario(store_condition))
+                result = first_valid_result(kill_scenario(store_condition))
                 self.assertFalse(result.violations)
                 outcomes = outcomes_from(result.results, KILLED_AT_S + RESTARTED_AFTER_S + 1.0)
                 shares[store_condition] = outcomes["served"] / sum(outcomes.values())
@@ -78,7 +78,7 @@
         )
         scenario = kill_scenario("swapped", second_kill, discovery_down=False)
         scenario.seconds = 8.5  # the proxies restart at 5.3 s; each polls discovery within 1.9 s of its start
-        result = outcome_of(scenario)
+        result = first_valid_result(scenario)
         self.assertFalse(result.violations)
         outcomes = outcomes_from(result.results, 7.5)
         self.assertGreater(outcomes["served"], 0.85 * sum(outcomes.values()))
@@ -97,7 +97,7 @@
         scenario.discovery.notice_s = (1.2, 1.6)
         scenario.proxies = ProxiesConfig(12)
         scenario.check()
-        result = outcome_of(scenario)
+        result = first_valid_result(scenario)
         # Requests that arrive when the proxies resume may be lost behind their backlog. The test is about
         # decisions on stale lists, so it ignores this rule.
         self.assertEqual([str(violation) for violation in result.violations if violation.rule != "lost"], [])
