--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -75,7 +75,7 @@
         cpu_s += counted[-1].cpu_s - counted[0].cpu_s
         span_s = counted[-1].at - counted[0].at
     cpu_us_per_request = cpu_s / (rate * span_s) * 1e6
-    return _figures(report.figures(outcome), rate) | {"proxies": proxies, "cpu_us": cpu_us_per_request}
+    return _figures(report.build_report(outcome), rate) | {"proxies": proxies, "cpu_us": cpu_us_per_request}
 
 
 def _figures(tree: dict[str, Any], rate: float) -> dict[str, Any]:
--- a/lupinladder/cli/emulator/play.py
+++ b/lupinladder/cli/emulator/play.py
@@ -30,7 +30,7 @@
 
 
 def _play_and_report(scenario: Scenario, output: OutputOptions) -> report.ExitCode:
-    tree = report.figures(play(scenario, output.quiet, output.logs))
+    tree = report.build_report(play(scenario, output.quiet, output.logs))
     output.write_report(tree)
     if output.plot_path:
         from lupinladder.emulator.plot import draw  # matplotlib takes long to import
--- a/lupinladder/cli/emulator/restart_recovery.py
+++ b/lupinladder/cli/emulator/restart_recovery.py
@@ -49,7 +49,7 @@
     for seed in parse_seeds(seeds):
         scenario = restart_recovery.make_scenario(proxies, kill, store, discovery, seed)
         outcome = play(scenario, output.quiet, output.logs_of(seed))
-        row = restart_recovery.figures(outcome)
+        row = restart_recovery.build_report(outcome)
         console.print(_row_text(row))
         rows.append(row)
     tree = restart_recovery.full_report(scenario.about, rows)
--- a/lupinladder/cli/emulator/soak.py
+++ b/lupinladder/cli/emulator/soak.py
@@ -48,7 +48,7 @@
 
 def _play_seed(scenario: Scenario, output: OutputOptions, folder: Path) -> dict[str, Any]:
     outcome = play(scenario, output.quiet, output.logs_of(scenario.seed) or folder)
-    tree = report.figures(outcome)
+    tree = report.build_report(outcome)
     suspends_processes = any(fault.kind == "freeze" for fault in scenario.faults)
     alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), suspends_processes)
     code = report.exit_code(tree)
--- a/lupinladder/emulator/report.py
+++ b/lupinladder/emulator/report.py
@@ -41,7 +41,7 @@
     end: float
 
 
-def figures(run_result: RunResult) -> dict[str, Any]:
+def build_report(run_result: RunResult) -> dict[str, Any]:
     """Return the whole report."""
     scenario = run_result.scenario
     class_reports = _class_reports(run_result.results, scenario.classes)
--- a/lupinladder/emulator/restart_recovery.py
+++ b/lupinladder/emulator/restart_recovery.py
@@ -123,10 +123,10 @@
     return sum(rate[step] for step in range(first_step, first_step + STEPS_PER_S))
 
 
-def figures(run_result: RunResult) -> dict[str, Any]:
+def build_report(run_result: RunResult) -> dict[str, Any]:
     """Return the report on one run as plain data."""
     run_scenario = run_result.scenario
-    run_report = report.figures(run_result)
+    run_report = report.build_report(run_result)
     rates = {name: run_result.rates.get(name, Counter()) for name in RATES}
     after_kill = [result for result in run_result.results if result.at >= KILLED_AT_S]
     return {
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -43,7 +43,7 @@
 
 
 def report_of(scenario: Scenario) -> dict[str, Any]:
-    return report.figures(first_valid_result(scenario))
+    return report.build_report(first_valid_result(scenario))
 
 
 class VoidRuns(TestCase):
