--- a/lupinladder/cli/emulator/soak.py
+++ b/lupinladder/cli/emulator/soak.py
@@ -48,9 +48,9 @@
 
 def _play_seed(scenario: Scenario, output: OutputOptions, folder: Path) -> dict[str, Any]:
     outcome = play(scenario, output.quiet, output.logs_of(scenario.seed) or folder)
-    tree = report.figures(outcome)
-    stops_processes = any(fault.kind == "freeze" for fault in scenario.faults)
-    alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), stops_processes)
+    tree = report.build_report(outcome)
+    suspends_processes = any(fault.kind == "freeze" for fault in scenario.faults)
+    alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), suspends_processes)
     code = report.exit_code(tree)
     if code is report.ExitCode.RULES_KEPT and alarms:
         code = report.ExitCode.RULE_BROKEN
@@ -61,7 +61,7 @@
         "share": tree["share"],
         "counts": dict(sorted(outcome.counts.items())),
         "faults": [f"{fault.kind}@{fault.at:g}" for fault in scenario.faults],
-        "broken": [str(violation) for violation in outcome.broken],
+        "broken": [str(violation) for violation in outcome.violations],
         "alarms": alarms,
     }
 
--- a/lupinladder/emulator/client_attempt.py
+++ b/lupinladder/emulator/client_attempt.py
@@ -10,14 +10,14 @@
 
 from lupinladder.emulator.client_reply import ClientOutcome, ClientReply
 from lupinladder.emulator.resp_encoding import encode_command
-from lupinladder.emulator.rule_checker import GRACE, SLACK
+from lupinladder.emulator.rule_checker import ANSWER_GRACE_MS, SLACK_MS
 
 if TYPE_CHECKING:
     from lupinladder.emulator.client_connection import ClientConnection
     from lupinladder.emulator.client_pool import ClientPool
 
 MIN_REMAINING_TIME_MS = 5.0  # a client with less time left does not begin to send
-LISTENING_AFTER_TIMEOUT_MS = GRACE + SLACK + 5.0  # so that a late reply is seen
+LISTENING_AFTER_TIMEOUT_MS = ANSWER_GRACE_MS + SLACK_MS + 5.0  # so that a late reply is seen
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
     def _leave(self) -> None:
         if self.is_over or self.connection is None:
             return
-        self._pool.rule_checker.on_client_left(self._pool.clock.now(), self.request_id)
+        self._pool.rule_checker.on_client_disconnected(self._pool.clock.now(), self.request_id)
         self.finish(ClientReply(ClientOutcome.UNANSWERED))
         self.connection.close()
 
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -24,7 +24,7 @@
 from lupinladder.emulator.scenario import FaultConfig, LoadPhase, ProxiesConfig, Scenario
 from lupinladder.net.log import log_event
 from lupinladder.store import file_store, records
-from tests.emulator.test_runs import outcome_of
+from tests.emulator.test_runs import first_valid_result
 
 KILLED_AT_S = 3.0
 RESTARTED_AFTER_S = 0.8
@@ -59,8 +59,8 @@
         shares = {}
         for store_condition in ("kept", "old", "lost", "torn"):
             with self.subTest(store_condition):
-                result = outcome_of(kill_scenario(store_condition))
-                self.assertFalse(result.broken)
+                result = first_valid_result(kill_scenario(store_condition))
+                self.assertFalse(result.violations)
                 outcomes = outcomes_from(result.results, KILLED_AT_S + RESTARTED_AFTER_S + 1.0)
                 shares[store_condition] = outcomes["served"] / sum(outcomes.values())
         for store_condition, low, high in (
@@ -78,8 +78,8 @@
         )
         scenario = kill_scenario("swapped", second_kill, discovery_down=False)
         scenario.seconds = 8.5  # the proxies restart at 5.3 s; each polls discovery within 1.9 s of its start
-        result = outcome_of(scenario)
-        self.assertFalse(result.broken)
+        result = first_valid_result(scenario)
+        self.assertFalse(result.violations)
         outcomes = outcomes_from(result.results, 7.5)
         self.assertGreater(outcomes["served"], 0.85 * sum(outcomes.values()))
         self.assertGreater(max(proxy.starts for proxy in result.proxies), 1)
@@ -97,10 +97,10 @@
         scenario.discovery.notice_s = (1.2, 1.6)
         scenario.proxies = ProxiesConfig(12)
         scenario.check()
-        result = outcome_of(scenario)
+        result = first_valid_result(scenario)
         # Requests that arrive when the proxies resume may be lost behind their backlog. The test is about
         # decisions on stale lists, so it ignores this rule.
-        self.assertEqual([str(violation) for violation in result.broken if violation.rule != "lost"], [])
+        self.assertEqual([str(violation) for violation in result.violations if violation.rule != "lost"], [])
 
 
 class OperatorsFile(TestCase):
@@ -224,7 +224,7 @@
 
 class Measurements(TestCase):
     def test_full_service_starts_when_the_next_two_seconds_are_normal(self) -> None:
-        measured_scenario = restart_recovery.scenario(4, 0.5, "kept", "up", 1)
+        measured_scenario = restart_recovery.make_scenario(4, 0.5, "kept", "up", 1)
 
         def results(failing_span: tuple[float, float]) -> list[Result]:
             times = [n / 50 for n in range(round(measured_scenario.seconds * 50))]
@@ -233,19 +233,21 @@
                 for at in times
             ]
 
-        killed = restart_recovery.KILLED_S
+        killed = restart_recovery.KILLED_AT_S
         self.assertAlmostEqual(
-            restart_recovery.full_after(results((killed, killed + 3)), measured_scenario) or 0,
+            restart_recovery.time_to_full_service(results((killed, killed + 3)), measured_scenario) or 0,
             3.0,
             delta=0.06,
         )
-        self.assertEqual(restart_recovery.full_after(results((0, 0)), measured_scenario), 0.0)
+        self.assertEqual(restart_recovery.time_to_full_service(results((0, 0)), measured_scenario), 0.0)
         self.assertIsNone(
-            restart_recovery.full_after(results((killed, measured_scenario.seconds)), measured_scenario)
+            restart_recovery.time_to_full_service(
+                results((killed, measured_scenario.seconds)), measured_scenario
+            )
         )
 
     def test_the_highest_second_may_start_at_any_tenth_of_a_second(self) -> None:
         rate = Counter({15: 4, 24: 5, 40: 1})
-        self.assertEqual(restart_recovery.highest(rate, 0, 5), 9)
-        self.assertEqual(restart_recovery.highest(rate, 3, 5), 1)
-        self.assertEqual(restart_recovery.highest(rate, 9, 9.5), 0)
+        self.assertEqual(restart_recovery.highest_rate(rate, 0, 5), 9)
+        self.assertEqual(restart_recovery.highest_rate(rate, 3, 5), 1)
+        self.assertEqual(restart_recovery.highest_rate(rate, 9, 9.5), 0)
