--- a/lupinladder/emulator/client_attempt.py
+++ b/lupinladder/emulator/client_attempt.py
@@ -16,25 +16,25 @@
     from lupinladder.emulator.client_connection import ClientConnection
     from lupinladder.emulator.client_pool import ClientPool
 
-MIN_REMAINING_TIME_MS = 5.0  # a client with less time left does not begin to send
-LISTENING_AFTER_TIMEOUT_MS = GRACE + SLACK + 5.0  # so that a late reply is seen
+MIN_REMAINING_TIME_MS = 5.0  # a client with less time remaining does not send its command
+LISTENING_AFTER_TIMEOUT_MS = GRACE + SLACK + 5.0  # how long a client waits for a late reply
 
 
 @dataclass(frozen=True, slots=True)
 class ClientCommand:
-    """What an attempt asks for."""
+    """The command of an attempt, without its request id and its deadline."""
 
     request_class: int
     key: bytes
-    labels: bytes  # without the deadline
-    value: bytes  # of a write; empty for a read
+    labels: bytes  # without the label of the deadline
+    value: bytes  # written; empty for a read
 
 
 class ClientAttempt:
-    """One attempt: one request id, one reply.
+    """One attempt: one request id and at most one reply.
 
-    Its time runs from its creation, whether or not a connection is free. The command names what is left of
-    it when it is written.
+    Its timeout runs from its creation, whether or not a connection is free. The command names as its deadline
+    the time that remains when the command is written.
     """
 
     __slots__ = (
@@ -64,9 +64,9 @@
         on_done: Callable[[ClientReply], None],
         leaves_after_ms: float = inf,
     ) -> None:
-        """`keeps_connection`: the client holds its connection after the reply and never uses it again.
+        """With `keeps_connection`, the client keeps its connection open after the reply but never reuses it.
 
-        `leaves_after_ms`: it closes its connection so long after the command, if there is no reply by then.
+        Without a reply, the client closes its connection `leaves_after_ms` after it sent the command.
         """
         self._pool = pool
         self.request_id = request_id
@@ -75,7 +75,7 @@
         self._on_done = on_done
         self.connection: ClientConnection | None = None
         self.is_over = False
-        self.was_resent = False  # on a new connection, because a close crossed the command
+        self.was_resent = False  # on a new connection: the proxy closed the old one as the command was sent
         self._is_sent = False
         self._encoded = b""
         self._deadline = pool.clock.now() + timeout_ms
@@ -84,17 +84,17 @@
         self._timer = pool.clock.at(self._deadline + LISTENING_AFTER_TIMEOUT_MS, self._give_up)
 
     def start(self) -> None:
-        """Send it as soon as a connection is free."""
+        """Send the command as soon as a connection is free."""
         self._pool.submit(self)
 
     def can_still_be_sent(self) -> bool:
-        """Whether there is time to send it. If there is next to none left, the attempt is over."""
+        """Return whether the attempt has enough time to be sent, and finish it as not sent if it has not."""
         if not self.is_over and self._deadline - self._pool.clock.now() < MIN_REMAINING_TIME_MS:
             self.finish(ClientReply(ClientOutcome.NOT_SENT))
         return not self.is_over
 
     def encode(self) -> bytes:
-        """The command as it is written now; the same bytes when it is sent a second time."""
+        """Return the command as it is written now. Each later call returns the same bytes."""
         if not self._encoded:
             command = self._command
             remaining_ms = max(1, round(self._deadline - self._pool.clock.now()))
@@ -107,7 +107,7 @@
         return self._encoded
 
     def on_sent(self) -> None:
-        """Its last byte is written. Sending it a second time changes nothing of its time."""
+        """Record that the command was written. Sending it again does not change the attempt's times."""
         if self._is_sent:
             return
         self._is_sent = True
@@ -140,7 +140,7 @@
             self.connection.close()
 
     def finish(self, reply: ClientReply) -> None:
-        """The attempt is over, with this reply or without one; only the first call counts."""
+        """End the attempt with this reply. Only the first call has an effect."""
         if not self.is_over:
             self.is_over = True
             self._timer.cancel()
--- a/lupinladder/emulator/client_connection.py
+++ b/lupinladder/emulator/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client to a proxy, which carries one attempt at a time."""
+"""A connection of a client to a proxy. It carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a pool."""
+    """A connection of a client pool."""
 
     def __init__(self, pool: ClientPool) -> None:
         self._pool = pool
         self.transport: asyncio.Transport | None = None
         self._reader = hiredis.Reader()
-        self._raw = bytearray()  # the bytes of the reply that is arriving
-        self._attempt: ClientAttempt | None = None  # that waits for its reply
+        self._raw = bytearray()  # the bytes received so far of the current reply
+        self._attempt: ClientAttempt | None = None  # the attempt that waits for its reply
         self._last_request_id = b""
         self._replies_received = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether it can still be written to."""
+        """Whether the connection can still be written to."""
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is established."""
+        """Store the transport of the established connection."""
         self.transport = as_stream_transport(transport)
 
     def send(self, attempt: ClientAttempt) -> None:
-        """Write the command of an attempt."""
+        """Write the command of the attempt."""
         assert self.transport
         self._attempt = attempt
         self._last_request_id = attempt.request_id
@@ -46,7 +46,7 @@
         attempt.on_sent()
 
     def data_received(self, data: bytes) -> None:
-        """Read the reply, if it is whole. Nothing may come while no attempt waits for one."""
+        """Read the reply once it is complete. A proxy may send nothing while no attempt waits for a reply."""
         attempt = self._attempt
         if attempt is None:
             pool = self._pool
@@ -68,7 +68,7 @@
         self._finish(attempt, reply, can_be_reused=self.is_open and not attempt.keeps_connection)
 
     def _finish(self, attempt: ClientAttempt, reply: ClientReply, can_be_reused: bool) -> None:
-        """The attempt has its reply. The connection goes back to the pool before the client acts on it."""
+        """Finish the attempt with its reply. The connection returns to the pool before the client reacts."""
         raw = bytes(self._raw)
         self._attempt = None
         self._raw.clear()
@@ -84,7 +84,11 @@
             self.transport.abort()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Fail the attempt that waits, or send it once more if the close crossed its command."""
+        """Fail the waiting attempt, or send it again on a new connection.
+
+        A proxy may close an idle connection at the moment when a client sends a command on it. The client
+        then sends the command once more.
+        """
         attempt = self._attempt
         self._attempt = None
         self._pool.on_connection_lost(self)
--- a/lupinladder/emulator/client_pool.py
+++ b/lupinladder/emulator/client_pool.py
@@ -1,4 +1,4 @@
-"""The connections of the usual clients to one proxy."""
+"""The connections of the well-behaved clients to one proxy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClientPool:
-    """At most `max_connections` to one proxy. An attempt that finds none free waits for one."""
+    """Holds at most `max_connections` to one proxy. An attempt waits if no connection is free."""
 
     def __init__(
         self,
@@ -29,21 +29,21 @@
         self.clock = clock
         self.rule_checker = rule_checker
         self.proxy = proxy
-        self.opened = 0  # connections established since the start
+        self.opened = 0  # connections established since the start of the run
         self._address = address
         self._max_connections = max_connections
-        self._connection_count = 0  # with those that are being established
+        self._connection_count = 0  # including those that are being established
         self._idle: list[ClientConnection] = []
         self._waiting: deque[ClientAttempt] = deque()
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def has_idle_connection(self) -> bool:
-        """Whether an attempt can be sent without another connection."""
+        """Whether an attempt can be sent without opening another connection."""
         return any(connection.is_open for connection in self._idle)
 
     def submit(self, attempt: ClientAttempt) -> None:
-        """Send an attempt on an idle connection or a new one, or let it wait for one."""
+        """Send the attempt on an idle or a new connection, or queue it until a connection is free."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
@@ -78,7 +78,7 @@
             self.release(connection)
 
     def release(self, connection: ClientConnection) -> None:
-        """The connection can be used again."""
+        """Use the connection for the next waiting attempt, or keep it as idle."""
         while self._waiting:
             attempt = self._waiting.popleft()
             if attempt.can_still_be_sent():
@@ -87,7 +87,7 @@
         self._idle.append(connection)
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """A connection was closed: others may be opened for those who wait."""
+        """Remove a closed connection, and open new ones for waiting attempts."""
         self._connection_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
--- a/lupinladder/emulator/client_reply.py
+++ b/lupinladder/emulator/client_reply.py
@@ -1,4 +1,4 @@
-"""What a proxy replied to a client: PROTOCOL, "Clients to proxies"."""
+"""Parses the replies of proxies to clients (PROTOCOL, "Clients to proxies")."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ClientOutcome(StrEnum):
-    """What became of an attempt or a request of a client, in the spelling of the reports."""
+    """The outcome of an attempt or a request of a client. The values are written to reports."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientReply:
-    """What became of one attempt."""
+    """The reply to an attempt, or the reason why there is none."""
 
     outcome: ClientOutcome
     value: bytes = b""
-    retry_after_ms: float = 0.0  # that came with a rejection
+    retry_after_ms: float = 0.0  # named by a rejection
 
 
 def read_reply(raw: bytes, parsed: object) -> ClientReply:
-    """The meaning of a whole reply, from its bytes and from what hiredis made of them."""
+    """Interpret a complete reply, given its bytes and the value that hiredis parsed from them."""
     if raw.startswith(b"$") and isinstance(parsed, bytes):
         return ClientReply(ClientOutcome.SERVED, parsed)
     if raw.startswith(b"*") and isinstance(parsed, list) and parsed and isinstance(parsed[0], bytes):
--- a/lupinladder/emulator/client_request.py
+++ b/lupinladder/emulator/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client over its attempts."""
+"""A request of a client, from its first attempt to its final outcome."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 if TYPE_CHECKING:
     from lupinladder.emulator.load_generator import LoadGenerator
 
-MIN_TIME_FOR_RETRY_MS = 20.0  # that must be left after the wait
+MIN_TIME_FOR_RETRY_MS = 20.0  # minimum time that must remain after the wait before a retry
 
 
 @dataclass(slots=True)
 class Result:
-    """What became of one request. Times in ms, unless they say otherwise."""
+    """The result of one request. Times are in ms unless stated otherwise."""
 
-    at: float  # intended, in seconds from the start of the counted part
-    request_class: int  # its request class
-    outcome: str  # a ClientOutcome
+    at: float  # intended time of arrival, in seconds from the start of the counted part
+    request_class: int  # index in the classes of the scenario
+    outcome: str  # value of a ClientOutcome
     latency: float  # from the intended time to the last byte of the final reply
     attempts: int
-    start_delay_ms: float  # by how much the emulator began it late
-    retry_after: float = 0.0  # that came with a rejection
+    start_delay_ms: float  # by which the emulator started the request late
+    retry_after: float = 0.0  # ms, named by a rejection
 
 
 class ClientRequest:
-    """One request: an attempt and, after a rejection or a failure, retries of it."""
+    """Sends the first attempt of a request and, after a rejection or a failure, its retries."""
 
     __slots__ = ("_arrival", "_attempts", "_generator", "_intended_at", "_late", "_request_class")
 
@@ -45,7 +45,7 @@
         return self._intended_at + self._request_class.deadline_ms - self._generator.clock.now()
 
     def attempt(self) -> None:
-        """Start the next attempt, or finish if there is no time left for one."""
+        """Start the next attempt, or finish the request if no time remains for one."""
         self._attempts += 1
         timeout_ms = min(self._arrival.attempt_timeout, self._remaining_time())
         if timeout_ms < MIN_REMAINING_TIME_MS:
@@ -67,7 +67,7 @@
             return False
         if outcome is ClientOutcome.REJECTED:
             return True
-        # After a failure an unsafe write may have run, and the clients do not ask for it again.
+        # A server may have executed a failed write, so clients do not retry unsafe writes after a failure.
         return outcome is ClientOutcome.FAILED and self._request_class.repeat != "unsafe"
 
     def _wait_before_retry(self, reply: ClientReply) -> float:
--- a/lupinladder/emulator/faulty_system.py
+++ b/lupinladder/emulator/faulty_system.py
@@ -1,7 +1,7 @@
-"""Runs a proxy on a machine whose clock is stepped and whose system calls fail: `python -m` this module.
+"""Runs a proxy whose wall clock is stepped and whose system calls fail (`python -m` this module).
 
-It replaces Python's own doors to the system before the program is imported, and starts the program as it is.
-The errors are those that the manual pages of Linux name, and the calls that meet them are drawn at random.
+The module replaces `time.time` and `socket.socket` before it imports the proxy, and runs the proxy unchanged.
+The errors are those that the manual pages of Linux name. The calls that fail are drawn at random.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 from lupinladder.emulator.system_faults import STATE_VARIABLE, SystemState, read_state
 
-LOOK_INTERVAL_S = 0.03  # between two looks at the state
+LOOK_INTERVAL_S = 0.03  # between two reads of the state file
 ACCEPT_ERRORS = (errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS, errno.EPROTO)
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ECONNREFUSED)
 TRANSFER_ERRORS = (errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
-MAX_SHORT_BYTES = 40
+MAX_SHORT_BYTES = 40  # maximum size of a partial read or write
 
 
 class FaultySystem:
-    """The state of the machine, looked at now and then, and the draws of what fails."""
+    """Reads the state of the machine from its file at intervals, and draws which calls fail."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -36,7 +36,7 @@
         self._time = time.time
 
     def state(self) -> SystemState:
-        """The state as it was a moment ago."""
+        """Return the state, which may be LOOK_INTERVAL_S old."""
         now = time.monotonic()
         if now - self._looked_at >= LOOK_INTERVAL_S:
             self._looked_at = now
@@ -44,33 +44,33 @@
         return self._state
 
     def wall_clock(self) -> float:
-        """In place of `time.time`."""
+        """Return the stepped wall clock. This replaces `time.time`."""
         return self._time() + self.state().wall_step_ms / 1000
 
     def error(self, numbers: tuple[int, ...]) -> int:
-        """The number of the error that a call meets now; 0 if it meets none."""
+        """Draw the error number of a call. 0 means that the call succeeds."""
         if self._draw.random() >= self.state().failing_share:
             return 0
         return self._draw.choice(numbers)
 
     def fail(self, numbers: tuple[int, ...]) -> None:
-        """Raise the error that a call meets now, if it meets one."""
+        """Raise an OSError if the call is drawn to fail."""
         number = self.error(numbers)
         if number:
             raise OSError(number, os.strerror(number))
 
     def shorten(self, view: memoryview) -> memoryview:
-        """The part of the bytes that a call reads or writes."""
+        """Draw the part of the buffer that a call reads or writes."""
         if self._draw.random() >= self.state().failing_share:
             return view
         return view[: self._draw.randint(1, MAX_SHORT_BYTES)]
 
 
 def faulty_socket_class(system: FaultySystem) -> type[socket.socket]:
-    """A socket class whose calls fail as the system says."""
+    """Return a socket class whose calls fail as drawn by `system`."""
 
     class FaultySocket(socket.socket):
-        """A socket of a machine that is not sound."""
+        """A socket whose calls fail at random."""
 
         def __init__(self, family: int = -1, kind: int = -1, proto: int = -1, fileno: Any = None) -> None:
             if fileno is None:
@@ -78,21 +78,21 @@
             super().__init__(family, kind, proto, fileno)
 
         def accept(self) -> tuple[socket.socket, Any]:
-            """Fail as the system may, with nothing taken off the backlog."""
+            """Accept a connection, or fail and leave the backlog unchanged."""
             system.fail(ACCEPT_ERRORS)
             return super().accept()
 
         def connect_ex(self, address: Any) -> int:
-            """Return an error that connect(2) may meet at once, or begin to connect."""
+            """Start to connect, or return an error that connect(2) may report at once."""
             return system.error(CONNECT_ERRORS) or super().connect_ex(address)
 
         def send(self, data: Any, flags: int = 0) -> int:
-            """Fail as the system may, or write a part."""
+            """Write all or a part of the data, or fail."""
             system.fail(TRANSFER_ERRORS)
             return super().send(system.shorten(memoryview(data)), flags)
 
         def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-            """Fail as the system may, or read a part."""
+            """Read into all or a part of the buffer, or fail."""
             system.fail(TRANSFER_ERRORS)
             return super().recv_into(system.shorten(memoryview(buffer)), nbytes, flags)
 
@@ -100,11 +100,11 @@
 
 
 def main() -> int:
-    """Run the proxy; its exit code."""
+    """Run the proxy and return its exit code."""
     system = FaultySystem(Path(os.environ[STATE_VARIABLE]))
     time.time = system.wall_clock
     socket.socket = faulty_socket_class(system)  # type: ignore[misc]
-    from lupinladder.__main__ import main as run_proxy  # after the doors are replaced
+    from lupinladder.__main__ import main as run_proxy  # after time.time and socket.socket are replaced
 
     return run_proxy()
 
--- a/lupinladder/emulator/load_generator.py
+++ b/lupinladder/emulator/load_generator.py
@@ -1,7 +1,7 @@
-"""The usual clients: open-loop arrivals, pools of connections, timeouts, one retry, `-BUSY MS` honoured.
+"""Generates the open-loop load of the well-behaved clients, with timeouts, retries and `-BUSY MS` honoured.
 
-Arrivals are drawn ahead and begun at their time whatever the replies do, and latency counts from that time,
-so that a stalled proxy is not spared the requests that would have come meanwhile.
+Arrivals are drawn in advance. Each request starts at its time, however slow the replies are, and its latency
+counts from that time. A stalled proxy therefore still receives the requests that arrive during the stall.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from lupinladder.emulator.workload import Arrival
 
 WRITE_VALUE = b"field geometry " * 8
-# Request ids come from a linear congruential generator (Knuth's MMIX): no two of a run are the same.
+# Request ids come from a linear congruential generator (Knuth's MMIX), so they are unique within a run.
 ID_MULTIPLIER = 6364136223846793005
 ID_INCREMENT = 1442695040888963407
 ID_MODULUS = 1 << 64
 
 
 class LoadGenerator:
-    """All usual clients."""
+    """Sends the requests of all well-behaved clients and collects their results."""
 
     def __init__(
         self,
@@ -40,21 +40,21 @@
         rng: np.random.Generator,
         start: float,
     ) -> None:
-        """`pools` are by proxy; `start` is when the counted part begins, in ms."""
+        """`pools` holds one pool for each proxy. The counted part starts at `start` (ms)."""
         self.clock = clock
         self.classes = classes
         self.config = config
         self.start = start
         self.results: list[Result] = []
-        self.open = 0  # requests that are not finished
-        self.last_request_id = b"0"  # the request id that was given last
+        self.open = 0  # number of requests that are not finished
+        self.last_request_id = b"0"  # the most recently assigned request id
         self._pools = pools
         self._selector = selector
         self._rng = rng
         self._id_state = int(rng.integers(1, 1 << 62))
 
     def begin(self, arrival: Arrival) -> None:
-        """A request arrives now."""
+        """Start the request of this arrival."""
         self.open += 1
         ClientRequest(self, arrival).attempt()
 
@@ -66,7 +66,7 @@
     def start_attempt(
         self, arrival: Arrival, timeout_ms: float, on_done: Callable[[ClientReply], None]
     ) -> None:
-        """Send a request to a proxy, under a new request id."""
+        """Send the request to a proxy under a new request id."""
         request_class = self.classes[arrival.request_class]
         request_id = self._next_request_id()
         labels = b"c=" + request_class.name.encode()
@@ -88,16 +88,16 @@
         ).start()
 
     def _draw_leaving(self, timeout_ms: float) -> float:
-        """Draw after how many ms the client leaves; infinity if it waits."""
+        """Draw the time in ms after which the client disconnects; infinity if it waits for the reply."""
         if not self.config.leave or self._rng.random() >= self.config.leave:
             return inf
         return float(self._rng.uniform(0, timeout_ms))
 
     def draw_backoff(self) -> float:
-        """Draw how long a client waits before a retry, in ms."""
+        """Draw the backoff before a retry, in ms."""
         return self.config.backoff_ms * float(self._rng.uniform(0.5, 1.5))
 
     def on_finished(self, result: Result) -> None:
-        """A request is finished."""
+        """Record the result of a finished request."""
         self.open -= 1
         self.results.append(result)
--- a/lupinladder/emulator/managed_proxy.py
+++ b/lupinladder/emulator/managed_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy under test: its place, its process and the resources it uses."""
+"""A proxy under test: its zone, addresses and files, its process and its resource usage."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(slots=True)
 class Usage:
-    """The resources of a proxy's process at one moment."""
+    """The resource usage of a proxy's process at one moment."""
 
     at: float  # seconds from the start of the counted part
-    cpu_s: float  # over all its processes so far
-    rss_mb: float
-    descriptors: int
+    cpu_s: float  # seconds of CPU, over all processes of the proxy so far
+    rss_mb: float  # resident memory, in MiB
+    descriptors: int  # number of open file descriptors
 
 
 @dataclass(slots=True)
 class Managed:
-    """One proxy: its place, and the process that stands there now."""
+    """A proxy under test. A restart replaces its process; the number, addresses and files stay the same."""
 
     number: int
     zone: int
@@ -31,49 +31,49 @@
     peer_listen: tuple[str, int]
     folder: Path
     process: asyncio.subprocess.Process | None = None
-    starts: int = 0
-    expected_end: bool = False
+    starts: int = 0  # number of processes started so far
+    expected_end: bool = False  # the emulator has stopped or killed the process
     is_ready: bool = False  # the process has answered PING
-    needs_reload: bool = False  # its file was replaced before it was ready
+    needs_reload: bool = False  # the configuration was replaced before the process was ready
     usage: list[Usage] = field(default_factory=list)
-    cpu_before: float = 0.0  # seconds, of its earlier processes
+    cpu_before: float = 0.0  # seconds of CPU that its earlier processes used
 
     @property
     def address(self) -> str:
-        """Where it listens for clients, as host:port."""
+        """The address at which it listens for clients, as host:port."""
         return f"{self.listen[0]}:{self.listen[1]}"
 
     @property
     def config_path(self) -> Path:
-        """Its configuration file."""
+        """The path of its configuration file."""
         return self.folder / f"proxy-{self.number}.json"
 
     @property
     def log_path(self) -> Path:
-        """What its processes write to standard output and error."""
+        """The path of the file that receives the standard output and error of its processes."""
         return self.folder / f"proxy-{self.number}.log"
 
     @property
     def running(self) -> asyncio.subprocess.Process | None:
-        """Its process, if one runs."""
+        """Its process if it is running."""
         if self.process is None or self.process.returncode is not None:
             return None
         return self.process
 
     def last_log_line(self) -> str:
-        """The last line of its log, for errors."""
+        """Return the last line of its log, for error messages."""
         lines = self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []
         return lines[-1] if lines else "it wrote no log"
 
     def on_stop(self) -> None:
-        """Its process is about to be stopped: that is no failure, and the CPU it used still counts."""
+        """Prepare for a stop of the process: its exit is expected, and the CPU time it used still counts."""
         self.expected_end = True
         if self.usage:
             self.cpu_before = self.usage[-1].cpu_s
 
 
 def measure_usage(pid: int, at: float, cpu_before: float) -> Usage:
-    """What a process uses now. psutil.Error if it has ended."""
+    """Measure the current usage of a process. Raises psutil.Error if the process has exited."""
     process = psutil.Process(pid)
     with process.oneshot():
         times = process.cpu_times()
--- a/lupinladder/emulator/misbehaving_clients.py
+++ b/lupinladder/emulator/misbehaving_clients.py
@@ -1,4 +1,7 @@
-"""Clients that do harm: LATER, "Bad clients". Each is owed an error line or a close within its time."""
+"""Clients that break the protocol (LATER, "Bad clients").
+
+A proxy must react to each of them with an error reply or by closing the connection within a time limit.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +16,9 @@
 from lupinladder.emulator.rule_checker import RuleChecker
 from lupinladder.emulator.sockets import as_stream_transport
 
-REACTION_TIME_MS = 3000.0  # in which a proxy has to end it
-BIG_VALUE_REACTION_TIME_MS = 6000.0
-TOLERANCE_S = 0.05
+REACTION_TIME_MS = 3000.0  # time limit for the proxy's reaction
+BIG_VALUE_REACTION_TIME_MS = 6000.0  # the same while the client sends a very large value
+TOLERANCE_S = 0.05  # added to the time limits
 BIG_VALUE_SIZE = 60_000_000  # bytes
 BIG_VALUE_PIECE = b"." * (1 << 16)
 MAX_WRITE_BUFFER = 1 << 20  # bytes
@@ -28,10 +31,10 @@
 def opening_bytes(
     misbehaviour: str, rng: np.random.Generator, class_name: str, stolen_id: bytes, deadline_ms: int
 ) -> bytes:
-    """What a client of this kind, one of scenario.MISBEHAVIOURS, writes first.
+    """Return the first bytes that a client of this kind (one of scenario.MISBEHAVIOURS) writes.
 
-    `class_name` is a class that exists, `stolen_id` the id of another client's request. The same numbers are
-    drawn for every kind, so that one kind more shifts no other.
+    `class_name` is an existing class, and `stolen_id` is the id of another client's request. The same
+    random draws are made for every kind, so adding a kind does not change the bytes of the others.
     """
     class_label = b"c=%b" % class_name.encode()
     labels = b"%b,d=%d" % (class_label, deadline_ms)
@@ -57,7 +60,7 @@
 
 
 class MisbehavingClients:
-    """Starts clients that misbehave, and counts the reactions they are owed and those that did not come."""
+    """Starts misbehaving clients, and counts the expected and the missing reactions of the proxies."""
 
     def __init__(
         self,
@@ -69,7 +72,10 @@
         deadline_ms: float,
         last_request_id: Callable[[], bytes],
     ) -> None:
-        """`addresses` are those of the proxies; `last_request_id` is of a usual client, for a stolen id."""
+        """`addresses` are those of the proxies.
+
+        `last_request_id` returns the id of a well-behaved client's request, which is used as a stolen id.
+        """
         self.reactions_owed: Counter[str] = Counter()  # by misbehaviour
         self.reactions_missing: Counter[str] = Counter()
         self.open = 0
@@ -83,7 +89,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def send(self, misbehaviour: str) -> None:
-        """Start a client of this kind at one of the proxies."""
+        """Start a client of this kind, connected to a randomly chosen proxy."""
         proxy = int(self._rng.integers(len(self._addresses)))
         task = self._clock.loop.create_task(self._run_client(misbehaviour, proxy))
         self._tasks.add(task)
@@ -95,7 +101,7 @@
                 lambda: _MisbehavingConnection(misbehaviour), *self._addresses[proxy]
             )
         except OSError:
-            return  # nobody is there: nothing is owed
+            return  # no proxy is listening, so no reaction is owed
         self.open += 1
         self.reactions_owed[misbehaviour] += 1
         connection.begin(self._opening_bytes(misbehaviour))
@@ -115,23 +121,23 @@
 
 
 class _MisbehavingConnection(asyncio.Protocol):
-    """The connection of one client, which ends with the proxy's reaction or with the client's time."""
+    """The connection of a misbehaving client. It ends with the proxy's reaction or at the time limit."""
 
     def __init__(self, misbehaviour: str) -> None:
         self.has_reaction = asyncio.Event()
-        self.was_served = False  # as though it had sent a request
-        self.received = b""  # the first bytes
+        self.was_served = False  # whether the proxy returned a value, as to a valid request
+        self.received = b""  # the first bytes of the replies
         self._misbehaviour = misbehaviour
         self._transport: asyncio.Transport | None = None
         self._value_remaining = BIG_VALUE_SIZE if misbehaviour == "big" else 0
         self._repeats_remaining = INVALID_COMMAND_REPEATS if misbehaviour == "again" else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is established."""
+        """Store the transport of the established connection."""
         self._transport = as_stream_transport(transport)
 
     def begin(self, data: bytes) -> None:
-        """Write the first bytes."""
+        """Write the first bytes, then close the sending side or write the value, as the kind requires."""
         if self._transport:
             self._transport.write(data)
             if self._misbehaviour == "half":
@@ -146,11 +152,11 @@
                 return
 
     def resume_writing(self) -> None:
-        """The write buffer has room again."""
+        """Continue to write the value when the write buffer has room again."""
         self._write_value()
 
     def data_received(self, data: bytes) -> None:
-        """Note the reaction, and repeat the invalid command if that is the misbehaviour."""
+        """Record the reaction, and repeat the invalid command if that is the misbehaviour."""
         if len(self.received) < MAX_RECEIVED_KEPT:
             self.received += data[:MAX_CHUNK_KEPT]
         is_value = data[:1] in (b"$", b"*")
@@ -163,7 +169,7 @@
             self._transport.write(INVALID_COMMAND)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """A close is a reaction too."""
+        """Record the close, which also counts as a reaction."""
         self.has_reaction.set()
 
     def close(self) -> None:
--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -1,4 +1,4 @@
-"""The proxies under test: their configuration files, processes and signals, and the resources they use."""
+"""Manages the proxies under test: configuration files, processes, signals and resource usage."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from lupinladder.errors import LupinladderError
 
 READY_TIMEOUT_S = 15.0  # for the first PONG after a start
-RETRY_CONNECT_S = 0.02
-MAX_DEADLINE_S = 3.0  # a stop waits no longer than this for requests in progress
-STOP_MARGIN_S = 0.7  # beyond the longest deadline, until SIGKILL follows SIGTERM
-CLOSE_NOTICE_S = 0.05  # until clients have seen that a process which has ended closed their connections
-END_TIMEOUT_S = 5.0  # the same at the end of a run
-RELOAD_DELAY_MS = 1000.0  # SIGHUP never comes within the first second (LATER)
-STORE_INTERVAL_MS = 250
+RETRY_CONNECT_S = 0.02  # between two attempts to connect after a start
+MAX_DEADLINE_S = 3.0  # upper bound of the deadline that a graceful stop allows for
+STOP_MARGIN_S = 0.7  # added to the longest deadline: time from SIGTERM to SIGKILL
+CLOSE_NOTICE_S = 0.05  # until clients have noticed that an ended process closed their connections
+END_TIMEOUT_S = 5.0  # time from SIGTERM to SIGKILL at the end of a run
+RELOAD_DELAY_MS = 1000.0  # SIGHUP is never sent within the first second after a start (LATER)
+STORE_INTERVAL_MS = 250  # between two writes of a proxy's store
 CPU_CORES = 1.0
 PING = b"*1\r\n$4\r\nPING\r\n"
 PONG = b"+PONG\r\n"
 
 
 class ProxyStartError(LupinladderError):
-    """A proxy ended, or did not answer PING in time, after its start."""
+    """A started proxy exited or did not answer PING in time."""
 
     def __init__(self, number: int, last_log_line: str) -> None:
         super().__init__(f"proxy {number} did not start: {last_log_line}")
@@ -47,7 +47,7 @@
 
 
 class Proxies:
-    """Starts, stops and watches the proxies of a run, and tells the rule checker."""
+    """Starts, stops and watches the proxies of a run, and reports their states to the rule checker."""
 
     def __init__(
         self,
@@ -58,7 +58,10 @@
         config: Callable[[Managed], dict[str, Any]],
         seed: Callable[[], int],
     ) -> None:
-        """`config` gives the part of a configuration that the run knows, `seed` a new seed for each file."""
+        """`config` returns the part of a proxy's configuration that depends on the run.
+
+        `seed` returns a new seed for each configuration file.
+        """
         self._clock = clock
         self._scenario = scenario
         self._rule_checker = rule_checker
@@ -76,11 +79,11 @@
         self.on_up: Callable[[int], object] = _ignore
 
     def store(self, proxy: Managed) -> Path:
-        """Where a proxy keeps its state over restarts."""
+        """Return the path of the store in which the proxy keeps its state over restarts."""
         return proxy.folder / f"n{proxy.number}.store"
 
     def write(self, proxy: Managed) -> Path:
-        """Write the configuration as it is now; the file is replaced as a whole."""
+        """Replace the proxy's configuration file atomically by the current configuration; return its path."""
         config = {
             "name": f"n{proxy.number}",
             "listen": proxy.address,
@@ -99,7 +102,10 @@
         return new_path.replace(proxy.config_path)
 
     async def start(self, proxy: Managed) -> None:
-        """Start a process and wait until it answers PING. ProxyStartError if it does not."""
+        """Start the proxy's process and wait until it answers PING.
+
+        Raises ProxyStartError if it exits or does not answer in time.
+        """
         config_path = self.write(proxy)
         proxy.starts += 1
         proxy.expected_end = False
@@ -157,7 +163,7 @@
             self._rule_checker.proxy_died(self._clock.now(), proxy.number, code)
 
     def look(self, start: float) -> None:
-        """Note what each process uses now; `start` is when the counted part begins (ms)."""
+        """Record the current usage of each process. The counted part starts at `start` (ms)."""
         for proxy in self.all:
             process = proxy.running
             if process is None:
@@ -169,7 +175,7 @@
             proxy.usage.append(usage)
 
     def kill(self, proxy: Managed) -> None:
-        """Send SIGKILL."""
+        """Kill the proxy with SIGKILL."""
         process = proxy.running
         if process:
             proxy.on_stop()
@@ -177,7 +183,7 @@
             process.send_signal(signal.SIGKILL)
 
     def freeze(self, proxy: Managed, still: bool) -> None:
-        """Send SIGSTOP, or SIGCONT if `still` is false."""
+        """Suspend the proxy with SIGSTOP, or resume it with SIGCONT if `still` is false."""
         process = proxy.running
         if process is None:
             return
@@ -189,7 +195,11 @@
             process.send_signal(signal.SIGCONT)
 
     def hup(self, proxy: Managed) -> None:
-        """Write the configuration anew and send SIGHUP, or when the proxy is ready if it is not (LATER)."""
+        """Rewrite the configuration and send SIGHUP.
+
+        SIGHUP is never sent within the first second after a start (LATER), so a proxy that is not ready yet
+        gets it later.
+        """
         self.write(proxy)
         if not proxy.running:
             return
@@ -199,13 +209,16 @@
             proxy.needs_reload = True
 
     def signal_stopping(self, proxy: Managed) -> None:
-        """Send SIGHUP and SIGTERM once more to a process that was told to stop."""
+        """Send SIGHUP and SIGTERM to a process that is already shutting down."""
         if proxy.running and proxy.expected_end:
             proxy.running.send_signal(signal.SIGHUP)
             proxy.running.send_signal(signal.SIGTERM)
 
     async def term(self, proxy: Managed) -> None:
-        """Send SIGTERM and wait for the end; SIGKILL follows no sooner than the longest deadline later."""
+        """Send SIGTERM and wait for the exit.
+
+        SIGKILL follows when the longest deadline (at most MAX_DEADLINE_S) and STOP_MARGIN_S have passed.
+        """
         process = proxy.running
         if process is None:
             return
@@ -216,13 +229,14 @@
         if await _kill_unless_ended(process, min(MAX_DEADLINE_S, longest) + STOP_MARGIN_S):
             self._rule_checker.counts["killed_after_term"] += 1
         else:
-            # A command that crossed the close of its connection is sent again: its client has to see the end.
+            # A client sends a command again if the proxy closed the connection as the command was sent. The
+            # client has to notice the close first.
             await asyncio.sleep(CLOSE_NOTICE_S)
-        # What it had received and not answered is lost; a planned stop excuses nothing.
+        # Requests that it had received and not answered are lost. A planned stop is no excuse for that.
         self._rule_checker.proxy_ended(self._clock.now(), proxy.number)
 
     async def end(self) -> None:
-        """End what still runs: SIGTERM to all, then SIGKILL to each that does not end in time."""
+        """Stop all processes with SIGTERM, and kill each that does not exit in time."""
         for proxy in self.all:
             if proxy.running:
                 proxy.expected_end = True
@@ -235,11 +249,11 @@
 
 
 def _ignore(_proxy: int) -> None:
-    """For `on_up` until somebody wants to know."""
+    """Do nothing. This is the default of `on_up`."""
 
 
 def _operator_file(folder: Path) -> Path:
-    """The operator's file that lets each proxy keep a store; it is written once."""
+    """Return the path of the operator's file that configures the stores. It is written at the first call."""
     path = folder / "operator.toml"
     if not path.exists():
         store = json.dumps(str(folder.resolve() / "{name}.store"))
@@ -248,7 +262,7 @@
 
 
 async def _kill_unless_ended(process: asyncio.subprocess.Process, timeout_s: float) -> bool:
-    """Wait for the end of a process and kill it at the timeout. Whether it had to be killed."""
+    """Wait for the exit of a process, and kill it at the timeout. Return whether it was killed."""
     try:
         await asyncio.wait_for(process.wait(), timeout_s)
     except TimeoutError:
--- a/lupinladder/emulator/proxy_faults.py
+++ b/lupinladder/emulator/proxy_faults.py
@@ -1,4 +1,4 @@
-"""Faults of proxies: kills and restarts, reloads, processes that are stopped, and silent connections."""
+"""Faults of proxies: kills, restarts, reloads, suspended processes and silent connections."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from lupinladder.emulator.scenario import FaultConfig
 from lupinladder.emulator.store_corruption import corrupt_stores
 
-DEATH_NOTICE_S = 1.5  # until clients notice that a proxy has died
-SHUTDOWN_NOTICE_S = 0.3  # for which clients still choose a proxy that was sent SIGTERM
-START_INTERVAL_S = 0.03  # between starts of processes
-CONNECT_TIMEOUT_S = 1
+DEATH_NOTICE_S = 1.5  # until clients notice that a proxy was killed
+SHUTDOWN_NOTICE_S = 0.3  # for which clients still select a proxy after SIGTERM
+START_INTERVAL_S = 0.03  # between two starts of processes
+CONNECT_TIMEOUT_S = 1  # for a silent connection
 RELOADS_IN_A_ROW = 3
-SIGNALS_WHILE_STOPPING = 4
-SIGNAL_INTERVAL_S = 0.15
+SIGNALS_WHILE_STOPPING = 4  # pairs of SIGHUP and SIGTERM sent during a shutdown
+SIGNAL_INTERVAL_S = 0.15  # between two of these pairs
 
 
 class ProxyFaults:
@@ -26,10 +26,10 @@
         self._context = context
         self._proxies = context.proxies
         self._clock = context.clock
-        self._being_restarted = set[int]()  # by another fault, which also starts them again
+        self._being_restarted = set[int]()  # proxies that a fault has stopped and will start again
 
     def handlers(self) -> dict[str, FaultHandler]:
-        """The handlers, by kind of fault."""
+        """Return the handlers by kind of fault."""
         return {
             "kill": self._kill,
             "term": self._restart,
@@ -44,14 +44,14 @@
         }
 
     def _pick_proxies(self, share: float) -> list[Managed]:
-        """Draw this share of the proxies, at least one, less those that another fault restarts."""
+        """Draw this share of the proxies, at least one, and leave out those that another fault restarts."""
         proxies = self._proxies.all
         count = max(1, round(share * len(proxies)))
         picked = [proxies[n] for n in self._context.rng.permutation(len(proxies))[:count]]
         return [proxy for proxy in picked if proxy.number not in self._being_restarted]
 
     def _kill_process(self, proxy: Managed) -> None:
-        """SIGKILL; the clients notice late."""
+        """Kill the proxy with SIGKILL. The clients notice it after a delay."""
         self._being_restarted.add(proxy.number)
         self._proxies.kill(proxy)
         noticed_at = self._clock.now() + DEATH_NOTICE_S * 1000
@@ -67,7 +67,7 @@
         self._context.selector.alive[proxy.number] = True
 
     async def _kill(self, fault: FaultConfig) -> None:
-        """SIGKILL to one proxy, which is started again after a while."""
+        """Kill one proxy with SIGKILL, and start it again after `for_s`."""
         proxy = self._proxies.all[fault.proxy]
         if proxy.number in self._being_restarted:
             return
@@ -77,9 +77,9 @@
         self._context.mark(f"proxy {fault.proxy} started")
 
     async def _kill_many(self, fault: FaultConfig) -> None:
-        """SIGKILL to a part of the proxies in one instant; all are started again together after a while.
+        """Kill a part of the proxies at once with SIGKILL, and start all of them again after `for_s`.
 
-        `how` says what becomes of their stores meanwhile.
+        `how` says how their stores are corrupted in between.
         """
         killed = self._pick_proxies(fault.part)
         for proxy in killed:
@@ -90,14 +90,17 @@
         corrupt_stores(stores, fault.how or "kept", self._context.rng)
         await asyncio.sleep(fault.for_s)
         starts = []
-        for proxy in killed:  # each blocks the emulator for some 10 ms: together they would make it late
+        for proxy in killed:  # a start blocks the emulator for about 10 ms: all at once would make it late
             starts.append(asyncio.ensure_future(self._start(proxy)))
             await asyncio.sleep(START_INTERVAL_S)
         await asyncio.gather(*starts)
         self._context.mark(f"{len(killed)} proxies started")
 
     async def _stop_processes(self, fault: FaultConfig) -> None:
-        """SIGSTOP to a part of the proxies, SIGCONT after a while: they go on with what they last knew."""
+        """Suspend a part of the proxies with SIGSTOP, and resume them with SIGCONT after `for_s`.
+
+        They then continue with the state that they had before.
+        """
         stopped = self._pick_proxies(fault.part)
         for proxy in stopped:
             self._proxies.freeze(proxy, True)
@@ -108,16 +111,16 @@
         self._context.mark(f"{len(stopped)} proxies go on")
 
     async def _restart(self, fault: FaultConfig) -> None:
-        """Restart one proxy as planned."""
+        """Restart one proxy gracefully."""
         await self._restart_gracefully(self._proxies.all[fault.proxy], fault.for_s)
 
     async def _restart_many(self, fault: FaultConfig) -> None:
-        """Restart a part of the proxies as planned, all at once."""
+        """Restart a part of the proxies gracefully, all at once."""
         stopped = self._pick_proxies(fault.part)
         await asyncio.gather(*(self._restart_gracefully(proxy, fault.for_s) for proxy in stopped))
 
     async def _fail_calls(self, fault: FaultConfig) -> None:
-        """A share of the system calls of all proxies fails or is cut short, for a while."""
+        """Let a share of the system calls of all proxies fail or transfer only a part, for `for_s`."""
         system = self._proxies.system
         assert system
         system.fail_calls(fault.part)
@@ -126,13 +129,16 @@
         self._context.mark("calls succeed again")
 
     async def _restart_all(self, fault: FaultConfig) -> None:
-        """Restart all proxies as planned, one after another."""
+        """Restart all proxies gracefully, one after another."""
         for proxy in self._proxies.all:
             await self._restart_gracefully(proxy, fault.for_s)
 
     async def _restart_gracefully(self, proxy: Managed, away_s: float) -> None:
-        """SIGTERM, new connections for a little longer, then a start under the same name. Clients use the
-        connections that they have until the end of the process."""
+        """Send SIGTERM, and start the proxy again under the same name `away_s` after its exit.
+
+        Clients open new connections to it for a short time after SIGTERM, and use their idle connections
+        until the process exits.
+        """
         if proxy.number in self._being_restarted:
             return
         self._being_restarted.add(proxy.number)
@@ -149,11 +155,11 @@
         self._context.selector.alive[proxy.number] = False
 
     async def _reload(self, fault: FaultConfig) -> None:
-        """SIGHUP, after the proxy's file is written anew."""
+        """Rewrite the configuration of one proxy and send SIGHUP."""
         self._proxies.hup(self._proxies.all[fault.proxy])
 
     async def _send_signals(self, fault: FaultConfig) -> None:
-        """Signals to a part of the proxies in a series: reloads, a stop, and both again while it stops."""
+        """Reload and restart a part of the proxies, and send SIGHUP and SIGTERM again during the shutdown."""
         picked = self._pick_proxies(fault.part)
         for proxy in picked:
             for _ in range(RELOADS_IN_A_ROW):
@@ -166,7 +172,7 @@
         await asyncio.gather(*restarts)
 
     async def _open_silent_connections(self, fault: FaultConfig) -> None:
-        """Connections that say nothing, `size` of them, spread over the proxies."""
+        """Open `size` connections that send nothing, spread over the proxies."""
         writers = []
         for n in range(round(fault.size)):
             proxy = self._proxies.all[n % len(self._proxies.all)]
--- a/lupinladder/emulator/proxy_selector.py
+++ b/lupinladder/emulator/proxy_selector.py
@@ -1,4 +1,4 @@
-"""The clients' choice of a proxy."""
+"""Chooses a proxy for each request of the clients."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class ProxySelector:
-    """Spreads clients in turn over the proxies of their zone that are believed to be alive.
+    """Selects proxies round-robin among those of the client's zone that clients consider alive.
 
-    A proxy that is being stopped gets no new connections, but clients use those that they have for as long as
-    it lets them.
+    A proxy that is shutting down gets no new connections, but clients use its idle connections until it
+    closes them.
     """
 
     def __init__(self, zones: list[int]) -> None:
-        """`zones` are those of the proxies, by proxy."""
+        """`zones` holds the zone of each proxy."""
         self._zones = zones
         self._turn = 0
         self.alive = [True] * len(zones)
-        self.stopping = [False] * len(zones)  # told to stop, and neither ended nor killed yet
+        self.stopping = [False] * len(zones)  # by proxy: SIGTERM was sent and the process still runs
         self.has_idle_connection: Callable[[int], bool] = _has_none
 
     def pick(self, zone: int) -> int:
-        """The proxy for a client of this zone; of another zone, or a dead one, if there is no other."""
+        """Return a proxy for a client in this zone. Falls back to other zones, then to any proxy."""
         proxies = range(len(self._zones))
         usable = [proxy for proxy in proxies if self._is_usable(proxy)]
         nearby = [proxy for proxy in usable if self._zones[proxy] == zone]
@@ -34,5 +34,5 @@
 
 
 def _has_none(_proxy: int) -> bool:
-    """For `has_idle_connection` until the pools of connections exist."""
+    """Return False. This is used as `has_idle_connection` until the client pools exist."""
     return False
--- a/lupinladder/emulator/proxy_settings.py
+++ b/lupinladder/emulator/proxy_settings.py
@@ -1,4 +1,4 @@
-"""The `settings` of a proxy's configuration file, as DEPLOY and WIRE describe them, for a scenario."""
+"""Generates the `settings` of a proxy's configuration file for a scenario (format: DEPLOY and WIRE)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from lupinladder.emulator.scenario import ClusterConfig, RequestClassConfig, Scenario
 
-TENANT_QUOTA_FACTOR = 2  # times what a tenant asks for at the highest load: shares are uneven over proxies
+TENANT_QUOTA_FACTOR = 2  # times a tenant's rate at the highest load, as its load is uneven over the proxies
 
 
 def settings(scenario: Scenario, number: int, zone: int) -> dict[str, Any]:
-    """The object for proxy `number`, which stands in the zone of this index."""
+    """Return the settings of the proxy `number`. `zone` is the index of its zone."""
     cluster = scenario.fleet
     return {
         "ceilings": _ceilings(cluster),
--- a/lupinladder/emulator/request_labels.py
+++ b/lupinladder/emulator/request_labels.py
@@ -1,4 +1,7 @@
-"""The labels of a request, such as `c=read,d=480`, and the errors of a request that cannot be served."""
+"""Parses the labels of a request, such as `c=read,d=480`, and defines the errors of invalid requests.
+
+The texts of the errors are sent to the proxy.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +9,18 @@
 
 
 class RequestSyntaxError(LupinladderError):
-    """A request that a server cannot read."""
+    """A request is invalid."""
 
 
 class LabelSyntaxError(RequestSyntaxError):
-    """Labels are not a list of names and values."""
+    """The labels are not a list of names and values."""
 
     def __init__(self) -> None:
         super().__init__("labels are not names and values")
 
 
 class UnknownClassError(RequestSyntaxError):
-    """The labels name no class, or one that does not exist."""
+    """The labels name no class or an unknown one."""
 
     def __init__(self, name: bytes) -> None:
         super().__init__(repr(name))
@@ -32,7 +35,7 @@
 
 
 def parse_labels(text: bytes) -> dict[bytes, bytes]:
-    """`c=read,d=480` as names and values; LabelSyntaxError if it is anything else."""
+    """Return labels such as `c=read,d=480` by name. Raises LabelSyntaxError if they are malformed."""
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
     if any(len(pair) != 2 for pair in pairs):
         raise LabelSyntaxError
--- a/lupinladder/emulator/run_clients.py
+++ b/lupinladder/emulator/run_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: those that behave, at the arrivals drawn ahead, and those that break the protocol."""
+"""Runs the clients of a run: the well-behaved ones at their planned arrivals, and the misbehaving ones."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from lupinladder.emulator.scenario import MISBEHAVIOURS, Scenario
 from lupinladder.emulator.workload import Arrival, random_stream
 
-ANSWER_MARGIN_MS = 2500.0  # beyond the longest deadline, to wait for answers after the load
-SETTLE_STEP_S = 0.05
-SETTLE_S = 0.2  # for what is still under way when all is answered
-MISBEHAVIOUR_STEPS_PER_S = 10
-MIN_SLEEP_MS = 0.5  # a wait that is shorter is not worth a timer
+ANSWER_MARGIN_MS = 2500.0  # added to the longest deadline when waiting for answers after the load
+SETTLE_STEP_S = 0.05  # between two checks whether all requests are finished
+SETTLE_S = 0.2  # for messages still in flight when all requests are finished
+MISBEHAVIOUR_STEPS_PER_S = 10  # how often new misbehaving clients are started
+MIN_SLEEP_MS = 0.5  # shorter waits are skipped
 
 
 class RunClients:
-    """All clients of a run. The tasks that send misbehaving ones run until `close`."""
+    """All clients of a run. Misbehaving clients are started until `close` is called."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         selector: ProxySelector,
         start: float,
     ) -> None:
-        """`start` is when the counted part begins (ms)."""
+        """The counted part starts at `start` (ms)."""
         self._clock = clock
         self._scenario = scenario
         self._rule_checker = rule_checker
@@ -67,21 +67,21 @@
 
     @property
     def results(self) -> list[Result]:
-        """The results of the requests that have ended."""
+        """The results of the finished requests."""
         return self._load_generator.results
 
     @property
     def open_requests(self) -> int:
-        """How many requests have begun and not ended."""
+        """The number of requests that have started and are not finished."""
         return self._load_generator.open
 
     @property
     def connections(self) -> int:
-        """How many connections were opened by clients that behave."""
+        """The number of connections that well-behaved clients have opened."""
         return sum(pool.opened for pool in self._pools)
 
     async def play(self, arrivals: Sequence[Arrival]) -> None:
-        """Begin each request at its time, whatever the answers do, and wait until all have ended."""
+        """Start each request at its time, however slow the answers are, and wait until all are finished."""
         for arrival in arrivals:
             wait_ms = self._start + arrival.at * 1000 - self._clock.now()
             if wait_ms > MIN_SLEEP_MS:
@@ -90,11 +90,11 @@
         await self._settle()
 
     def close(self) -> None:
-        """Send no more misbehaving clients."""
+        """Stop starting misbehaving clients."""
         self._misbehaving_task.cancel()
 
     async def _settle(self) -> None:
-        """Until all is answered or given up, and the counted part is over."""
+        """Wait, up to a time limit, until all clients are finished and the counted part is over."""
         longest = max(request_class.deadline_ms for request_class in self._scenario.classes)
         end = self._start + self._scenario.seconds * 1000
         limit = max(end, self._clock.now()) + longest + ANSWER_MARGIN_MS
@@ -108,7 +108,7 @@
         return has_open_clients or self._clock.now() < end
 
     async def _send_misbehaving(self) -> None:
-        """Send misbehaving clients at the rates of the scenario, the kinds of a group in turn."""
+        """Start misbehaving clients at the rates of the scenario. The kinds of a group take turns."""
         rng = random_stream(self._scenario.seed, "harm")
         groups = [(group, group.kinds or list(MISBEHAVIOURS)) for group in self._scenario.misbehaving_clients]
         count = 0
--- a/lupinladder/emulator/store_corruption.py
+++ b/lupinladder/emulator/store_corruption.py
@@ -1,4 +1,4 @@
-"""What becomes of the stores of proxies that were killed: lost, damaged, swapped or old."""
+"""Corrupts the stores of killed proxies: lost, damaged, swapped or old."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def with_older_records(data: bytes, age_ms: float) -> bytes:
-    """A store in which every record was made so much earlier."""
+    """Return the store with each record dated `age_ms` earlier."""
     state = records.fold(record_log.scan(data))
     if state is None:
         return data
@@ -25,7 +25,7 @@
 
 
 def corrupt_stores(paths: list[Path], how: str, rng: np.random.Generator) -> None:
-    """Do to these stores, as far as they exist, what `how` says (one of scenario.STORES)."""
+    """Corrupt those of the stores that exist. `how` is one of scenario.STORES."""
     existing = [path for path in paths if path.exists()]
     for path in existing:
         _corrupt(path, how, rng)
--- a/lupinladder/emulator/system_faults.py
+++ b/lupinladder/emulator/system_faults.py
@@ -1,7 +1,7 @@
-"""What a proxy's machine does to it: steps of the wall clock, and system calls that fail for a moment.
+"""Faults of the proxies' machines: steps of the wall clock, and system calls that fail for a while.
 
-The emulator writes the state to a file, and each proxy that was started by `faulty_system` reads it. Nothing
-here is part of the proxy.
+The emulator writes the state of the machines to a file. Each proxy that was started by `faulty_system` reads
+it. The proxy itself does not use this module.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 import msgspec
 
-STATE_VARIABLE = "LUPINLADDER_EMULATOR_SYSTEM"  # the path of the file
+STATE_VARIABLE = "LUPINLADDER_EMULATOR_SYSTEM"  # holds the path of the state file
 
 
 class SystemState(msgspec.Struct):
     """The state of the machines of all proxies of a run."""
 
-    wall_step_ms: float = 0.0  # by which the wall clock is ahead of real time
-    failing_share: float = 0.0  # of system calls on sockets, which fail or are cut short
+    wall_step_ms: float = 0.0  # by which the wall clock is ahead of the real time
+    failing_share: float = 0.0  # of the system calls on sockets that fail or transfer only a part
 
 
 class SystemFaults:
-    """The state that the emulator sets."""
+    """Sets the state of the machines and writes it to the state file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -29,12 +29,12 @@
         self._write()
 
     def step_wall_clock(self, by_ms: float) -> None:
-        """Step the wall clock of all machines."""
+        """Step the wall clock of all machines by `by_ms`."""
         self.state.wall_step_ms += by_ms
         self._write()
 
     def fail_calls(self, share: float) -> None:
-        """Have this share of the calls fail, until it is set again."""
+        """Set the share of the calls that fail."""
         self.state.failing_share = share
         self._write()
 
@@ -45,7 +45,7 @@
 
 
 def read_state(path: Path) -> SystemState:
-    """The state as it is now; one that cannot be read is that of a sound machine."""
+    """Return the current state. If it cannot be read, the machine has no faults."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=SystemState)
     except (OSError, msgspec.MsgspecError):
--- a/lupinladder/emulator/workload.py
+++ b/lupinladder/emulator/workload.py
@@ -1,6 +1,7 @@
-"""Everything a run draws from its seed: the same seed gives the same plan.
+"""Draws the keys and arrivals of a run from its seed. The same seed always gives the same workload.
 
-numpy's SeedSequence gives every concern a stream of its own, so that one more fault shifts no arrival.
+Each purpose draws from its own random stream, seeded by numpy's SeedSequence. Another fault in the scenario
+therefore does not change the arrivals.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 
 def random_stream(seed: int, concern: str) -> np.random.Generator:
-    """The generator of one concern, the same on every machine and in every process."""
+    """Return the random generator for one purpose. It is the same on every machine and in every process."""
     return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(concern.encode())]))
 
 
 class KeyDistribution:
-    """A Zipf population of keys (p of rank r ~ 1 / (r + offset)^s), drifting, with sizes of its own."""
+    """A Zipf distribution of keys (p of rank r ~ 1 / (r + offset)^s) with drift and a size for each value."""
 
     def __init__(self, seed: int, clients: ClientsConfig) -> None:
         rng = random_stream(seed, "keys")
@@ -31,20 +32,21 @@
         self._cumulative_shares = np.cumsum(weights / weights.sum())
         sizes = clients.size[0] * rng.lognormal(0, clients.size[1], clients.keys)
         self._sizes = dict(zip(self.names, np.minimum(sizes, MAX_VALUE_SIZE).astype(int), strict=True))
-        # Objects that one pooled cache keeps, of as many keys as give the scenario's share of hits.
+        # How many keys one cache that pools the memory of the whole cluster holds: as many of the most
+        # popular keys as give the scenario's share of hits.
         self.pooled = int(np.searchsorted(self._cumulative_shares, clients.hits)) + 1
         self._kept = set(self.names[: self.pooled])
 
     def size(self, key: bytes) -> int:
-        """The size of the key's value, in bytes."""
+        """Return the size of the key's value, in bytes."""
         return int(self._sizes.get(key, self._clients.size[0]))
 
     def kept(self, key: bytes) -> bool:
-        """Whether one pooled cache of the cluster's size would hold the key."""
+        """Return whether one cache that pools the memory of the cluster would hold the key."""
         return key in self._kept
 
     def draw(self, rng: np.random.Generator, count: int, when: np.ndarray) -> list[bytes]:
-        """Keys for requests at these seconds; with drift, ranks move on to new keys with time."""
+        """Draw keys for requests at the times `when` (s). With drift, ranks move to other keys over time."""
         ranks = np.searchsorted(self._cumulative_shares, rng.random(count))
         ranks_moved = (when * self._clients.drift * self._clients.keys).astype(int)
         return [self.names[rank] for rank in (ranks + ranks_moved) % self._clients.keys]
@@ -52,27 +54,27 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One request as its client intends it."""
+    """The arrival of a request, and the behaviour of the client that sends it."""
 
     at: float  # seconds from the start of the counted part
     request_class: int
     key: bytes
     zone: int
-    attempt_timeout: float  # ms until the client gives an attempt up
+    attempt_timeout: float  # time in ms after which the client gives up an attempt
     honours_retry_after: bool
-    keeps_connection: bool  # open for ever after the reply, and never uses it again
-    tenant: str = ""  # in a scenario with tenants
+    keeps_connection: bool  # keeps its connection open after the reply and never uses it again
+    tenant: str = ""  # empty in a scenario without tenants
 
 
 class ArrivalPlan:
-    """The arrivals of a run, drawn ahead: the proxies' replies change none of them."""
+    """The arrivals of a run. They are drawn in advance, so the proxies' replies do not change them."""
 
     def __init__(self, scenario: Scenario, keys: KeyDistribution) -> None:
         self.scenario = scenario
         self.arrivals = self._draw(keys)
 
     def _draw(self, keys: KeyDistribution) -> list[Arrival]:
-        """Draw all arrivals. The order of the draws is part of what a seed means."""
+        """Draw all arrivals. Another order of the draws would change the arrivals of every seed."""
         scenario = self.scenario
         clients = scenario.clients
         rng = random_stream(scenario.seed, "arrivals")
@@ -115,7 +117,7 @@
         return [str(tenant) for tenant in drawn]
 
     def rate(self, at: float) -> float:
-        """Requests a second intended at this second."""
+        """Return the intended rate, in requests per second, at the time `at` (s)."""
         phases = self.scenario.load
         current = max((n for n, phase in enumerate(phases) if phase.at <= at), default=0)
         phase = phases[current]
@@ -127,7 +129,7 @@
         return phase.rate + (phase.to - phase.rate) * progress
 
     def _draw_times(self, rng: np.random.Generator) -> np.ndarray:
-        """A Poisson process of changing rate, by thinning."""
+        """Draw the times of a Poisson process with a varying rate, by thinning."""
         begin = -self.scenario.lead_s
         end = self.scenario.seconds
         peak = max(_peak_rate(phase) for phase in self.scenario.load)
@@ -137,7 +139,7 @@
         return np.asarray(times[is_kept])
 
     def _replace_by_hot_keys(self, times: np.ndarray, names: list[bytes], keys: KeyDistribution) -> None:
-        """Hot keys: a share of the traffic goes to one or a few keys for a while."""
+        """Replace the keys of a share of the requests by hot keys, while a hot-key fault lasts."""
         rng = random_stream(self.scenario.seed, "hot")
         for fault in self.scenario.faults:
             if fault.kind != "hot-key":
--- a/tests/emulator/faulty_proxy.py
+++ b/tests/emulator/faulty_proxy.py
@@ -1,6 +1,7 @@
-"""The real proxy with one defect for the rule checker: `python -m tests.emulator.faulty_proxy DEFECT`.
+"""Runs the proxy with one planted defect: `python -m tests.emulator.faulty_proxy DEFECT`.
 
-Each defect replaces one function of the proxy, so it has to follow that function's name and arguments.
+The tests verify that the rule checker detects the defects. Each defect replaces functions of the proxy, so it
+has to follow their names and arguments.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from lupinladder.net.discovery import endpoint_parser, server_directory
 from lupinladder.net.discovery.endpoint_parser import ListedEndpoint
 
-CLAIM_SUBMIT = 2  # the place of this class, whose writes may not be repeated, among a scenario's classes
-REPLIES_FOR_EACH_LOST = 40
+CLAIM_SUBMIT = 2  # index of this class in a scenario's classes; its writes may not be repeated
+REPLIES_FOR_EACH_LOST = 40  # one reply in this many is lost
 CACHE_NODE = 0  # the server kind of cache nodes
 ORIGIN = b"origin"
 
 
 def send_writes_twice() -> None:
-    """Send each claim-submit twice, at once."""
+    """Send each claim-submit twice in immediate succession."""
     start = connection_pool.ConnectionPool.start
 
     def start_twice(self: connection_pool.ConnectionPool, attempt: Any) -> None:
@@ -36,7 +37,7 @@
 
 
 def lose_replies() -> None:
-    """Forget every 40th reply."""
+    """Drop every 40th reply."""
     set_reply = pending_reply.PendingReply._set
     replies = 0
 
@@ -50,12 +51,12 @@
 
 
 def ignore_drains() -> None:
-    """Take a node that drains for one that is ready."""
+    """Treat draining nodes as ready ones."""
     endpoint_parser.ENDPOINT_STATES["leaving"] = EndpointState.READY
 
 
 def flood_youngest_node() -> None:
-    """Send all reads to the cache node that started last."""
+    """Send all requests for cache nodes to the node that started last."""
     put = server_directory.ServerDirectory.put
     pool_for = server_directory.ServerDirectory.pool_for
     started_nodes: list[tuple[float, bytes]] = []
--- a/tests/emulator/test_client_reply.py
+++ b/tests/emulator/test_client_reply.py
@@ -1,4 +1,4 @@
-"""What a client makes of the bytes of a reply."""
+"""Tests of how the emulator's clients interpret the replies of proxies."""
 
 from __future__ import annotations
 
--- a/tests/emulator/test_system_faults.py
+++ b/tests/emulator/test_system_faults.py
@@ -1,4 +1,4 @@
-"""A machine whose clock is stepped and whose calls fail, as the emulator plays it."""
+"""Tests of the emulated machine whose wall clock is stepped and whose system calls fail."""
 
 from __future__ import annotations
 
