--- a/lupinladder/emulator/client_attempt.py
+++ b/lupinladder/emulator/client_attempt.py
@@ -40,10 +40,10 @@
     __slots__ = (
         "_command",
         "_deadline",
+        "_disconnect_timer",
+        "_disconnects_after_ms",
         "_encoded",
         "_is_sent",
-        "_leave_timer",
-        "_leaves_after_ms",
         "_on_done",
         "_pool",
         "_timer",
@@ -62,11 +62,11 @@
         timeout_ms: float,
         keeps_connection: bool,
         on_done: Callable[[ClientReply], None],
-        leaves_after_ms: float = inf,
+        disconnects_after_ms: float = inf,
     ) -> None:
         """With `keeps_connection`, the client keeps its connection open after the reply but never reuses it.
 
-        Without a reply, the client closes its connection `leaves_after_ms` after it sent the command.
+        Without a reply, the client closes its connection `disconnects_after_ms` after it sent the command.
         """
         self._pool = pool
         self.request_id = request_id
@@ -79,8 +79,8 @@
         self._is_sent = False
         self._encoded = b""
         self._deadline = pool.clock.now() + timeout_ms
-        self._leaves_after_ms = leaves_after_ms
-        self._leave_timer: asyncio.TimerHandle | None = None
+        self._disconnects_after_ms = disconnects_after_ms
+        self._disconnect_timer: asyncio.TimerHandle | None = None
         self._timer = pool.clock.at(self._deadline + LISTENING_AFTER_TIMEOUT_MS, self._give_up)
 
     def start(self) -> None:
@@ -118,10 +118,10 @@
             now, pool.proxy, self.request_id, self._command.request_class, remaining_ms, self._encoded
         )
 
-        if self._leaves_after_ms < remaining_ms:
-            self._leave_timer = pool.clock.at(now + self._leaves_after_ms, self._leave)
+        if self._disconnects_after_ms < remaining_ms:
+            self._disconnect_timer = pool.clock.at(now + self._disconnects_after_ms, self._disconnect)
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if self.is_over or self.connection is None:
             return
         self._pool.rule_checker.on_client_left(self._pool.clock.now(), self.request_id)
@@ -144,6 +144,6 @@
         if not self.is_over:
             self.is_over = True
             self._timer.cancel()
-            if self._leave_timer:
-                self._leave_timer.cancel()
+            if self._disconnect_timer:
+                self._disconnect_timer.cancel()
             self._on_done(reply)
--- a/lupinladder/emulator/client_pool.py
+++ b/lupinladder/emulator/client_pool.py
@@ -29,7 +29,7 @@
         self.clock = clock
         self.rule_checker = rule_checker
         self.proxy = proxy
-        self.opened = 0  # connections established since the start of the run
+        self.connections_opened = 0  # since the start of the run
         self._address = address
         self._max_connections = max_connections
         self._connection_count = 0  # including those that are being established
@@ -71,7 +71,7 @@
                 self.rule_checker.on_resend_refused(self.clock.now(), attempt.request_id)
             attempt.finish(ClientReply(ClientOutcome.FAILED))
             return
-        self.opened += 1
+        self.connections_opened += 1
         if attempt.can_still_be_sent():
             connection.send(attempt)
         else:
--- a/lupinladder/emulator/client_request.py
+++ b/lupinladder/emulator/client_request.py
@@ -31,7 +31,7 @@
 class ClientRequest:
     """Sends the first attempt of a request and, after a rejection or a failure, its retries."""
 
-    __slots__ = ("_arrival", "_attempts", "_generator", "_intended_at", "_late", "_request_class")
+    __slots__ = ("_arrival", "_attempts", "_generator", "_intended_at", "_request_class", "_start_delay_ms")
 
     def __init__(self, generator: LoadGenerator, arrival: Arrival) -> None:
         self._generator = generator
@@ -39,12 +39,12 @@
         self._request_class = generator.classes[arrival.request_class]
         self._attempts = 0
         self._intended_at = generator.start + arrival.at * 1000
-        self._late = generator.clock.now() - self._intended_at
+        self._start_delay_ms = generator.clock.now() - self._intended_at
 
     def _remaining_time(self) -> float:
         return self._intended_at + self._request_class.deadline_ms - self._generator.clock.now()
 
-    def attempt(self) -> None:
+    def start_next_attempt(self) -> None:
         """Start the next attempt, or finish the request if no time remains for one."""
         self._attempts += 1
         timeout_ms = min(self._arrival.attempt_timeout, self._remaining_time())
@@ -58,7 +58,7 @@
             wait_ms = self._wait_before_retry(reply)
             if self._remaining_time() > wait_ms + MIN_TIME_FOR_RETRY_MS:
                 clock = self._generator.clock
-                clock.at(clock.now() + wait_ms, self.attempt)
+                clock.at(clock.now() + wait_ms, self.start_next_attempt)
                 return
         self._finish(reply)
 
@@ -84,7 +84,7 @@
                 reply.outcome.value,
                 latency,
                 self._attempts,
-                self._late,
+                self._start_delay_ms,
                 reply.retry_after_ms,
             )
         )
--- a/lupinladder/emulator/faulty_system.py
+++ b/lupinladder/emulator/faulty_system.py
@@ -17,7 +17,7 @@
 
 from lupinladder.emulator.system_faults import STATE_VARIABLE, SystemState, read_state
 
-LOOK_INTERVAL_S = 0.03  # between two reads of the state file
+STATE_READ_INTERVAL_S = 0.03  # between two reads of the state file
 ACCEPT_ERRORS = (errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS, errno.EPROTO)
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ECONNREFUSED)
@@ -31,39 +31,39 @@
     def __init__(self, path: Path) -> None:
         self._path = path
         self._state = SystemState()
-        self._looked_at = -LOOK_INTERVAL_S
-        self._draw = random.Random(os.getpid())
-        self._time = time.time
+        self._state_read_at = -STATE_READ_INTERVAL_S
+        self._rng = random.Random(os.getpid())
+        self._real_time = time.time
 
     def state(self) -> SystemState:
-        """Return the state, which may be LOOK_INTERVAL_S old."""
+        """Return the state, which may be up to STATE_READ_INTERVAL_S old."""
         now = time.monotonic()
-        if now - self._looked_at >= LOOK_INTERVAL_S:
-            self._looked_at = now
+        if now - self._state_read_at >= STATE_READ_INTERVAL_S:
+            self._state_read_at = now
             self._state = read_state(self._path)
         return self._state
 
     def wall_clock(self) -> float:
         """Return the stepped wall clock. This replaces `time.time`."""
-        return self._time() + self.state().wall_step_ms / 1000
+        return self._real_time() + self.state().wall_step_ms / 1000
 
-    def error(self, numbers: tuple[int, ...]) -> int:
+    def draw_error(self, error_numbers: tuple[int, ...]) -> int:
         """Draw the error number of a call. 0 means that the call succeeds."""
-        if self._draw.random() >= self.state().failing_share:
+        if self._rng.random() >= self.state().failing_share:
             return 0
-        return self._draw.choice(numbers)
+        return self._rng.choice(error_numbers)
 
-    def fail(self, numbers: tuple[int, ...]) -> None:
+    def raise_drawn_error(self, error_numbers: tuple[int, ...]) -> None:
         """Raise an OSError if the call is drawn to fail."""
-        number = self.error(numbers)
-        if number:
-            raise OSError(number, os.strerror(number))
+        error_number = self.draw_error(error_numbers)
+        if error_number:
+            raise OSError(error_number, os.strerror(error_number))
 
     def shorten(self, view: memoryview) -> memoryview:
         """Draw the part of the buffer that a call reads or writes."""
-        if self._draw.random() >= self.state().failing_share:
+        if self._rng.random() >= self.state().failing_share:
             return view
-        return view[: self._draw.randint(1, MAX_SHORT_BYTES)]
+        return view[: self._rng.randint(1, MAX_SHORT_BYTES)]
 
 
 def faulty_socket_class(system: FaultySystem) -> type[socket.socket]:
@@ -74,26 +74,26 @@
 
         def __init__(self, family: int = -1, kind: int = -1, proto: int = -1, fileno: Any = None) -> None:
             if fileno is None:
-                system.fail(SOCKET_ERRORS)
+                system.raise_drawn_error(SOCKET_ERRORS)
             super().__init__(family, kind, proto, fileno)
 
         def accept(self) -> tuple[socket.socket, Any]:
             """Accept a connection, or fail and leave the backlog unchanged."""
-            system.fail(ACCEPT_ERRORS)
+            system.raise_drawn_error(ACCEPT_ERRORS)
             return super().accept()
 
         def connect_ex(self, address: Any) -> int:
             """Start to connect, or return an error that connect(2) may report at once."""
-            return system.error(CONNECT_ERRORS) or super().connect_ex(address)
+            return system.draw_error(CONNECT_ERRORS) or super().connect_ex(address)
 
         def send(self, data: Any, flags: int = 0) -> int:
             """Write all or a part of the data, or fail."""
-            system.fail(TRANSFER_ERRORS)
+            system.raise_drawn_error(TRANSFER_ERRORS)
             return super().send(system.shorten(memoryview(data)), flags)
 
         def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
             """Read into all or a part of the buffer, or fail."""
-            system.fail(TRANSFER_ERRORS)
+            system.raise_drawn_error(TRANSFER_ERRORS)
             return super().recv_into(system.shorten(memoryview(buffer)), nbytes, flags)
 
     return FaultySocket
--- a/lupinladder/emulator/load_generator.py
+++ b/lupinladder/emulator/load_generator.py
@@ -46,7 +46,7 @@
         self.config = config
         self.start = start
         self.results: list[Result] = []
-        self.open = 0  # number of requests that are not finished
+        self.open_request_count = 0  # requests that are not finished
         self.last_request_id = b"0"  # the most recently assigned request id
         self._pools = pools
         self._selector = selector
@@ -55,8 +55,8 @@
 
     def begin(self, arrival: Arrival) -> None:
         """Start the request of this arrival."""
-        self.open += 1
-        ClientRequest(self, arrival).attempt()
+        self.open_request_count += 1
+        ClientRequest(self, arrival).start_next_attempt()
 
     def _next_request_id(self) -> bytes:
         self._id_state = (self._id_state * ID_MULTIPLIER + ID_INCREMENT) % ID_MODULUS
@@ -84,10 +84,10 @@
             timeout_ms,
             arrival.keeps_connection,
             on_done,
-            self._draw_leaving(timeout_ms),
+            self._draw_disconnect_delay(timeout_ms),
         ).start()
 
-    def _draw_leaving(self, timeout_ms: float) -> float:
+    def _draw_disconnect_delay(self, timeout_ms: float) -> float:
         """Draw the time in ms after which the client disconnects; infinity if it waits for the reply."""
         if not self.config.leave or self._rng.random() >= self.config.leave:
             return inf
@@ -99,5 +99,5 @@
 
     def on_finished(self, result: Result) -> None:
         """Record the result of a finished request."""
-        self.open -= 1
+        self.open_request_count -= 1
         self.results.append(result)
--- a/lupinladder/emulator/managed_proxy.py
+++ b/lupinladder/emulator/managed_proxy.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Usage:
+class ResourceUsage:
     """The resource usage of a proxy's process at one moment."""
 
     at: float  # seconds from the start of the counted part
@@ -32,11 +32,11 @@
     folder: Path
     process: asyncio.subprocess.Process | None = None
     starts: int = 0  # number of processes started so far
-    expected_end: bool = False  # the emulator has stopped or killed the process
+    is_exit_expected: bool = False  # the emulator has stopped or killed the process
     is_ready: bool = False  # the process has answered PING
     needs_reload: bool = False  # the configuration was replaced before the process was ready
-    usage: list[Usage] = field(default_factory=list)
-    cpu_before: float = 0.0  # seconds of CPU that its earlier processes used
+    usage: list[ResourceUsage] = field(default_factory=list)
+    earlier_cpu_s: float = 0.0  # seconds of CPU that its earlier processes used
 
     @property
     def address(self) -> str:
@@ -54,7 +54,7 @@
         return self.folder / f"proxy-{self.number}.log"
 
     @property
-    def running(self) -> asyncio.subprocess.Process | None:
+    def running_process(self) -> asyncio.subprocess.Process | None:
         """Its process if it is running."""
         if self.process is None or self.process.returncode is not None:
             return None
@@ -65,19 +65,19 @@
         lines = self.log_path.read_text(errors="replace").splitlines() if self.log_path.exists() else []
         return lines[-1] if lines else "it wrote no log"
 
-    def on_stop(self) -> None:
+    def prepare_stop(self) -> None:
         """Prepare for a stop of the process: its exit is expected, and the CPU time it used still counts."""
-        self.expected_end = True
+        self.is_exit_expected = True
         if self.usage:
-            self.cpu_before = self.usage[-1].cpu_s
+            self.earlier_cpu_s = self.usage[-1].cpu_s
 
 
-def measure_usage(pid: int, at: float, cpu_before: float) -> Usage:
+def measure_usage(pid: int, at: float, earlier_cpu_s: float) -> ResourceUsage:
     """Measure the current usage of a process. Raises psutil.Error if the process has exited."""
     process = psutil.Process(pid)
     with process.oneshot():
         times = process.cpu_times()
         memory = process.memory_info()
         descriptors = process.num_fds()
-    cpu_s = cpu_before + times.user + times.system
-    return Usage(round(at, 2), round(cpu_s, 3), round(memory.rss / MIB, 1), descriptors)
+    cpu_s = earlier_cpu_s + times.user + times.system
+    return ResourceUsage(round(at, 2), round(cpu_s, 3), round(memory.rss / MIB, 1), descriptors)
--- a/lupinladder/emulator/misbehaving_clients.py
+++ b/lupinladder/emulator/misbehaving_clients.py
@@ -18,14 +18,14 @@
 
 REACTION_TIME_MS = 3000.0  # time limit for the proxy's reaction
 BIG_VALUE_REACTION_TIME_MS = 6000.0  # the same while the client sends a very large value
-TOLERANCE_S = 0.05  # added to the time limits
+REACTION_TOLERANCE_S = 0.05  # added to the time limits
 BIG_VALUE_SIZE = 60_000_000  # bytes
-BIG_VALUE_PIECE = b"." * (1 << 16)
+BIG_VALUE_CHUNK = b"." * (1 << 16)
 MAX_WRITE_BUFFER = 1 << 20  # bytes
 INVALID_COMMAND = encode_command(b"NONSENSE")
 INVALID_COMMAND_REPEATS = 20
-MAX_RECEIVED_KEPT = 400  # bytes
-MAX_CHUNK_KEPT = 200  # bytes
+MAX_RECEIVED_BYTES = 400  # bytes
+MAX_RECEIVED_CHUNK_BYTES = 200  # bytes
 
 
 def opening_bytes(
@@ -78,7 +78,7 @@
         """
         self.reactions_owed: Counter[str] = Counter()  # by misbehaviour
         self.reactions_missing: Counter[str] = Counter()
-        self.open = 0
+        self.open_client_count = 0
         self._clock = clock
         self._rule_checker = rule_checker
         self._rng = rng
@@ -88,7 +88,7 @@
         self._last_request_id = last_request_id
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def send(self, misbehaviour: str) -> None:
+    def start_client(self, misbehaviour: str) -> None:
         """Start a client of this kind, connected to a randomly chosen proxy."""
         proxy = int(self._rng.integers(len(self._addresses)))
         task = self._clock.loop.create_task(self._run_client(misbehaviour, proxy))
@@ -102,16 +102,16 @@
             )
         except OSError:
             return  # no proxy is listening, so no reaction is owed
-        self.open += 1
+        self.open_client_count += 1
         self.reactions_owed[misbehaviour] += 1
-        connection.begin(self._opening_bytes(misbehaviour))
+        connection.start(self._opening_bytes(misbehaviour))
         limit_ms = BIG_VALUE_REACTION_TIME_MS if misbehaviour == "big" else REACTION_TIME_MS
         try:
-            await asyncio.wait_for(connection.has_reaction.wait(), limit_ms / 1000 + TOLERANCE_S)
+            await asyncio.wait_for(connection.has_reaction.wait(), limit_ms / 1000 + REACTION_TOLERANCE_S)
         except TimeoutError:
             self.reactions_missing[misbehaviour] += 1
         connection.close()
-        self.open -= 1
+        self.open_client_count -= 1
         if connection.was_served:
             self._rule_checker.on_unexpected_bytes(self._clock.now(), proxy, b"", connection.received)
 
@@ -136,7 +136,7 @@
         """Store the transport of the established connection."""
         self._transport = as_stream_transport(transport)
 
-    def begin(self, data: bytes) -> None:
+    def start(self, data: bytes) -> None:
         """Write the first bytes, then close the sending side or write the value, as the kind requires."""
         if self._transport:
             self._transport.write(data)
@@ -146,8 +146,8 @@
 
     def _write_value(self) -> None:
         while self._value_remaining > 0 and self._transport and not self._transport.is_closing():
-            self._value_remaining -= len(BIG_VALUE_PIECE)
-            self._transport.write(BIG_VALUE_PIECE)
+            self._value_remaining -= len(BIG_VALUE_CHUNK)
+            self._transport.write(BIG_VALUE_CHUNK)
             if self._transport.get_write_buffer_size() > MAX_WRITE_BUFFER:
                 return
 
@@ -157,8 +157,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Record the reaction, and repeat the invalid command if that is the misbehaviour."""
-        if len(self.received) < MAX_RECEIVED_KEPT:
-            self.received += data[:MAX_CHUNK_KEPT]
+        if len(self.received) < MAX_RECEIVED_BYTES:
+            self.received += data[:MAX_RECEIVED_CHUNK_BYTES]
         is_value = data[:1] in (b"$", b"*")
         if is_value:
             self.was_served = True
--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -17,7 +17,7 @@
 from lupinladder.emulator.clock import Clock
 from lupinladder.emulator.managed_proxy import Managed, measure_usage
 from lupinladder.emulator.ports import free_port
-from lupinladder.emulator.proxy_settings import settings
+from lupinladder.emulator.proxy_settings import build_settings
 from lupinladder.emulator.rule_checker import RuleChecker
 from lupinladder.emulator.scenario import Scenario
 from lupinladder.emulator.sockets import HOST
@@ -25,7 +25,7 @@
 from lupinladder.errors import LupinladderError
 
 READY_TIMEOUT_S = 15.0  # for the first PONG after a start
-RETRY_CONNECT_S = 0.02  # between two attempts to connect after a start
+CONNECT_RETRY_INTERVAL_S = 0.02  # between two attempts to connect after a start
 MAX_DEADLINE_S = 3.0  # upper bound of the deadline that a graceful stop allows for
 STOP_MARGIN_S = 0.7  # added to the longest deadline: time from SIGTERM to SIGKILL
 CLOSE_NOTICE_S = 0.05  # until clients have noticed that an ended process closed their connections
@@ -76,13 +76,13 @@
         if scenario.proxies.faulty_system:
             self.system = SystemFaults(folder / "system.json")
         self._watchers: set[asyncio.Task[None]] = set()
-        self.on_up: Callable[[int], object] = _ignore
+        self.on_ready: Callable[[int], object] = _ignore
 
-    def store(self, proxy: Managed) -> Path:
+    def store_path(self, proxy: Managed) -> Path:
         """Return the path of the store in which the proxy keeps its state over restarts."""
         return proxy.folder / f"n{proxy.number}.store"
 
-    def write(self, proxy: Managed) -> Path:
+    def write_config(self, proxy: Managed) -> Path:
         """Replace the proxy's configuration file atomically by the current configuration; return its path."""
         config = {
             "name": f"n{proxy.number}",
@@ -94,7 +94,7 @@
                 "sockets": self._scenario.proxies.sockets,
             },
             "peer_listen": "{}:{}".format(*proxy.peer_listen),
-            "settings": settings(self._scenario, proxy.number, proxy.zone),
+            "settings": build_settings(self._scenario, proxy.number, proxy.zone),
             **self._config(proxy),
         }
         new_path = proxy.config_path.with_suffix(".new")
@@ -106,9 +106,9 @@
 
         Raises ProxyStartError if it exits or does not answer in time.
         """
-        config_path = self.write(proxy)
+        config_path = self.write_config(proxy)
         proxy.starts += 1
-        proxy.expected_end = False
+        proxy.is_exit_expected = False
         proxy.is_ready = False
         proxy.needs_reload = False
         module = "lupinladder.emulator.faulty_system" if self.system else "lupinladder"
@@ -126,7 +126,7 @@
         if proxy.needs_reload:
             self._clock.at(self._clock.now() + RELOAD_DELAY_MS, partial(self.hup, proxy))
         self._rule_checker.proxy_up(self._clock.now(), proxy.number)
-        self.on_up(proxy.number)
+        self.on_ready(proxy.number)
 
     def _environment(self, proxy: Managed, config_path: Path) -> dict[str, str]:
         environment = {
@@ -143,11 +143,11 @@
 
     async def _wait_until_ready(self, proxy: Managed) -> None:
         limit = self._clock.now() + READY_TIMEOUT_S * 1000
-        while self._clock.now() < limit and proxy.running:
+        while self._clock.now() < limit and proxy.running_process:
             try:
                 reader, writer = await asyncio.open_connection(*proxy.listen)
             except OSError:
-                await asyncio.sleep(RETRY_CONNECT_S)
+                await asyncio.sleep(CONNECT_RETRY_INTERVAL_S)
                 continue
             writer.write(PING)
             answer = await reader.readline()
@@ -158,36 +158,36 @@
 
     async def _watch(self, proxy: Managed, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        is_expected = proxy.expected_end and code in (0, -signal.SIGKILL)
+        is_expected = proxy.is_exit_expected and code in (0, -signal.SIGKILL)
         if proxy.process is process and not is_expected:
             self._rule_checker.proxy_died(self._clock.now(), proxy.number, code)
 
     def look(self, start: float) -> None:
         """Record the current usage of each process. The counted part starts at `start` (ms)."""
         for proxy in self.all:
-            process = proxy.running
+            process = proxy.running_process
             if process is None:
                 continue
             try:
-                usage = measure_usage(process.pid, (self._clock.now() - start) / 1000, proxy.cpu_before)
+                usage = measure_usage(process.pid, (self._clock.now() - start) / 1000, proxy.earlier_cpu_s)
             except psutil.Error:
                 continue
             proxy.usage.append(usage)
 
     def kill(self, proxy: Managed) -> None:
         """Kill the proxy with SIGKILL."""
-        process = proxy.running
+        process = proxy.running_process
         if process:
-            proxy.on_stop()
+            proxy.prepare_stop()
             self._rule_checker.proxy_killed(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGKILL)
 
-    def freeze(self, proxy: Managed, still: bool) -> None:
-        """Suspend the proxy with SIGSTOP, or resume it with SIGCONT if `still` is false."""
-        process = proxy.running
+    def set_suspended(self, proxy: Managed, is_suspended: bool) -> None:
+        """Suspend the proxy with SIGSTOP, or resume it with SIGCONT if `is_suspended` is false."""
+        process = proxy.running_process
         if process is None:
             return
-        if still:
+        if is_suspended:
             self._rule_checker.proxy_frozen(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGSTOP)
         else:
@@ -200,29 +200,29 @@
         SIGHUP is never sent within the first second after a start (LATER), so a proxy that is not ready yet
         gets it later.
         """
-        self.write(proxy)
-        if not proxy.running:
+        self.write_config(proxy)
+        if not proxy.running_process:
             return
         if proxy.is_ready:
-            proxy.running.send_signal(signal.SIGHUP)
+            proxy.running_process.send_signal(signal.SIGHUP)
         else:
             proxy.needs_reload = True
 
-    def signal_stopping(self, proxy: Managed) -> None:
+    def signal_during_shutdown(self, proxy: Managed) -> None:
         """Send SIGHUP and SIGTERM to a process that is already shutting down."""
-        if proxy.running and proxy.expected_end:
-            proxy.running.send_signal(signal.SIGHUP)
-            proxy.running.send_signal(signal.SIGTERM)
+        if proxy.running_process and proxy.is_exit_expected:
+            proxy.running_process.send_signal(signal.SIGHUP)
+            proxy.running_process.send_signal(signal.SIGTERM)
 
-    async def term(self, proxy: Managed) -> None:
+    async def stop(self, proxy: Managed) -> None:
         """Send SIGTERM and wait for the exit.
 
         SIGKILL follows when the longest deadline (at most MAX_DEADLINE_S) and STOP_MARGIN_S have passed.
         """
-        process = proxy.running
+        process = proxy.running_process
         if process is None:
             return
-        proxy.on_stop()
+        proxy.prepare_stop()
         self._rule_checker.proxy_stopping(self._clock.now(), proxy.number)
         process.send_signal(signal.SIGTERM)
         longest = max(request_class.deadline_ms / 1000 for request_class in self._scenario.classes)
@@ -238,18 +238,18 @@
     async def end(self) -> None:
         """Stop all processes with SIGTERM, and kill each that does not exit in time."""
         for proxy in self.all:
-            if proxy.running:
-                proxy.expected_end = True
-                proxy.running.send_signal(signal.SIGTERM)
+            if proxy.running_process:
+                proxy.is_exit_expected = True
+                proxy.running_process.send_signal(signal.SIGTERM)
         for proxy in self.all:
-            if proxy.running:
-                await _kill_unless_ended(proxy.running, END_TIMEOUT_S)
+            if proxy.running_process:
+                await _kill_unless_ended(proxy.running_process, END_TIMEOUT_S)
         for watcher in list(self._watchers):
             watcher.cancel()
 
 
 def _ignore(_proxy: int) -> None:
-    """Do nothing. This is the default of `on_up`."""
+    """Do nothing. This is the default of `on_ready`."""
 
 
 def _operator_file(folder: Path) -> Path:
--- a/lupinladder/emulator/proxy_faults.py
+++ b/lupinladder/emulator/proxy_faults.py
@@ -40,7 +40,7 @@
             "connections": self._open_silent_connections,
             "rolling-restart": self._restart_all,
             "kill-many": self._kill_many,
-            "freeze": self._stop_processes,
+            "freeze": self._suspend_proxies,
         }
 
     def _pick_proxies(self, share: float) -> list[Managed]:
@@ -86,7 +86,7 @@
             self._kill_process(proxy)
         self._context.mark(f"{len(killed)} proxies killed")
         await asyncio.gather(*(proxy.process.wait() for proxy in killed if proxy.process))
-        stores = [self._proxies.store(proxy) for proxy in killed]
+        stores = [self._proxies.store_path(proxy) for proxy in killed]
         corrupt_stores(stores, fault.how or "kept", self._context.rng)
         await asyncio.sleep(fault.for_s)
         starts = []
@@ -96,19 +96,19 @@
         await asyncio.gather(*starts)
         self._context.mark(f"{len(killed)} proxies started")
 
-    async def _stop_processes(self, fault: FaultConfig) -> None:
+    async def _suspend_proxies(self, fault: FaultConfig) -> None:
         """Suspend a part of the proxies with SIGSTOP, and resume them with SIGCONT after `for_s`.
 
         They then continue with the state that they had before.
         """
-        stopped = self._pick_proxies(fault.part)
-        for proxy in stopped:
-            self._proxies.freeze(proxy, True)
-        self._context.mark(f"{len(stopped)} proxies stand still")
+        suspended = self._pick_proxies(fault.part)
+        for proxy in suspended:
+            self._proxies.set_suspended(proxy, True)
+        self._context.mark(f"{len(suspended)} proxies stand still")
         await asyncio.sleep(fault.for_s)
-        for proxy in stopped:
-            self._proxies.freeze(proxy, False)
-        self._context.mark(f"{len(stopped)} proxies go on")
+        for proxy in suspended:
+            self._proxies.set_suspended(proxy, False)
+        self._context.mark(f"{len(suspended)} proxies go on")
 
     async def _restart(self, fault: FaultConfig) -> None:
         """Restart one proxy gracefully."""
@@ -116,8 +116,8 @@
 
     async def _restart_many(self, fault: FaultConfig) -> None:
         """Restart a part of the proxies gracefully, all at once."""
-        stopped = self._pick_proxies(fault.part)
-        await asyncio.gather(*(self._restart_gracefully(proxy, fault.for_s) for proxy in stopped))
+        picked = self._pick_proxies(fault.part)
+        await asyncio.gather(*(self._restart_gracefully(proxy, fault.for_s) for proxy in picked))
 
     async def _fail_calls(self, fault: FaultConfig) -> None:
         """Let a share of the system calls of all proxies fail or transfer only a part, for `for_s`."""
@@ -133,8 +133,8 @@
         for proxy in self._proxies.all:
             await self._restart_gracefully(proxy, fault.for_s)
 
-    async def _restart_gracefully(self, proxy: Managed, away_s: float) -> None:
-        """Send SIGTERM, and start the proxy again under the same name `away_s` after its exit.
+    async def _restart_gracefully(self, proxy: Managed, down_s: float) -> None:
+        """Send SIGTERM, and start the proxy again under the same name `down_s` after its exit.
 
         Clients open new connections to it for a short time after SIGTERM, and use their idle connections
         until the process exits.
@@ -143,15 +143,15 @@
             return
         self._being_restarted.add(proxy.number)
         self._context.selector.stopping[proxy.number] = True
-        no_longer_chosen_at = self._clock.now() + SHUTDOWN_NOTICE_S * 1000
-        self._clock.at(no_longer_chosen_at, partial(self._stop_choosing, proxy))
-        await self._proxies.term(proxy)
+        deselected_at = self._clock.now() + SHUTDOWN_NOTICE_S * 1000
+        self._clock.at(deselected_at, partial(self._stop_selecting, proxy))
+        await self._proxies.stop(proxy)
         self._context.selector.stopping[proxy.number] = False
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(down_s)
         await self._start(proxy)
         self._context.mark(f"proxy {proxy.number} started")
 
-    def _stop_choosing(self, proxy: Managed) -> None:
+    def _stop_selecting(self, proxy: Managed) -> None:
         self._context.selector.alive[proxy.number] = False
 
     async def _reload(self, fault: FaultConfig) -> None:
@@ -168,7 +168,7 @@
         for _ in range(SIGNALS_WHILE_STOPPING):
             await asyncio.sleep(SIGNAL_INTERVAL_S)
             for proxy in picked:
-                self._proxies.signal_stopping(proxy)
+                self._proxies.signal_during_shutdown(proxy)
         await asyncio.gather(*restarts)
 
     async def _open_silent_connections(self, fault: FaultConfig) -> None:
--- a/lupinladder/emulator/proxy_settings.py
+++ b/lupinladder/emulator/proxy_settings.py
@@ -9,7 +9,7 @@
 TENANT_QUOTA_FACTOR = 2  # times a tenant's rate at the highest load, as its load is uneven over the proxies
 
 
-def settings(scenario: Scenario, number: int, zone: int) -> dict[str, Any]:
+def build_settings(scenario: Scenario, number: int, zone: int) -> dict[str, Any]:
     """Return the settings of the proxy `number`. `zone` is the index of its zone."""
     cluster = scenario.fleet
     return {
--- a/lupinladder/emulator/run_clients.py
+++ b/lupinladder/emulator/run_clients.py
@@ -17,8 +17,8 @@
 from lupinladder.emulator.workload import Arrival, random_stream
 
 ANSWER_MARGIN_MS = 2500.0  # added to the longest deadline when waiting for answers after the load
-SETTLE_STEP_S = 0.05  # between two checks whether all requests are finished
-SETTLE_S = 0.2  # for messages still in flight when all requests are finished
+FINISH_CHECK_INTERVAL_S = 0.05  # between two checks whether all requests are finished
+FINAL_WAIT_S = 0.2  # for messages still in flight when all requests are finished
 MISBEHAVIOUR_STEPS_PER_S = 10  # how often new misbehaving clients are started
 MIN_SLEEP_MS = 0.5  # shorter waits are skipped
 
@@ -63,7 +63,7 @@
             scenario.classes[0].deadline_ms,
             lambda: self._load_generator.last_request_id,
         )
-        self._misbehaving_task = clock.loop.create_task(self._send_misbehaving())
+        self._misbehaving_task = clock.loop.create_task(self._start_misbehaving_clients())
 
     @property
     def results(self) -> list[Result]:
@@ -73,12 +73,12 @@
     @property
     def open_requests(self) -> int:
         """The number of requests that have started and are not finished."""
-        return self._load_generator.open
+        return self._load_generator.open_request_count
 
     @property
     def connections(self) -> int:
         """The number of connections that well-behaved clients have opened."""
-        return sum(pool.opened for pool in self._pools)
+        return sum(pool.connections_opened for pool in self._pools)
 
     async def play(self, arrivals: Sequence[Arrival]) -> None:
         """Start each request at its time, however slow the answers are, and wait until all are finished."""
@@ -87,27 +87,27 @@
             if wait_ms > MIN_SLEEP_MS:
                 await asyncio.sleep(wait_ms / 1000)
             self._load_generator.begin(arrival)
-        await self._settle()
+        await self._wait_until_finished()
 
     def close(self) -> None:
         """Stop starting misbehaving clients."""
         self._misbehaving_task.cancel()
 
-    async def _settle(self) -> None:
+    async def _wait_until_finished(self) -> None:
         """Wait, up to a time limit, until all clients are finished and the counted part is over."""
         longest = max(request_class.deadline_ms for request_class in self._scenario.classes)
         end = self._start + self._scenario.seconds * 1000
         limit = max(end, self._clock.now()) + longest + ANSWER_MARGIN_MS
         while self._clock.now() < limit and self._is_playing(end):
-            await asyncio.sleep(SETTLE_STEP_S)
-        await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(FINISH_CHECK_INTERVAL_S)
+        await asyncio.sleep(FINAL_WAIT_S)
         self._rule_checker.sweep(self._clock.now())
 
     def _is_playing(self, end: float) -> bool:
-        has_open_clients = bool(self.open_requests or self.misbehaving.open)
+        has_open_clients = bool(self.open_requests or self.misbehaving.open_client_count)
         return has_open_clients or self._clock.now() < end
 
-    async def _send_misbehaving(self) -> None:
+    async def _start_misbehaving_clients(self) -> None:
         """Start misbehaving clients at the rates of the scenario. The kinds of a group take turns."""
         rng = random_stream(self._scenario.seed, "harm")
         groups = [(group, group.kinds or list(MISBEHAVIOURS)) for group in self._scenario.misbehaving_clients]
@@ -118,5 +118,5 @@
                 if group.at <= at < min(group.at + group.for_s, self._scenario.seconds):
                     for _ in range(rng.poisson(group.per_s / MISBEHAVIOUR_STEPS_PER_S)):
                         count += 1
-                        self.misbehaving.send(kinds[count % len(kinds)])
+                        self.misbehaving.start_client(kinds[count % len(kinds)])
             await asyncio.sleep(1 / MISBEHAVIOUR_STEPS_PER_S)
--- a/lupinladder/emulator/workload.py
+++ b/lupinladder/emulator/workload.py
@@ -16,9 +16,9 @@
 MAX_VALUE_SIZE = 1 << 20  # bytes
 
 
-def random_stream(seed: int, concern: str) -> np.random.Generator:
+def random_stream(seed: int, purpose: str) -> np.random.Generator:
     """Return the random generator for one purpose. It is the same on every machine and in every process."""
-    return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(concern.encode())]))
+    return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(purpose.encode())]))
 
 
 class KeyDistribution:
@@ -35,7 +35,7 @@
         # How many keys one cache that pools the memory of the whole cluster holds: as many of the most
         # popular keys as give the scenario's share of hits.
         self.pooled = int(np.searchsorted(self._cumulative_shares, clients.hits)) + 1
-        self._kept = set(self.names[: self.pooled])
+        self._pooled_keys = set(self.names[: self.pooled])
 
     def size(self, key: bytes) -> int:
         """Return the size of the key's value, in bytes."""
@@ -43,12 +43,12 @@
 
     def kept(self, key: bytes) -> bool:
         """Return whether one cache that pools the memory of the cluster would hold the key."""
-        return key in self._kept
+        return key in self._pooled_keys
 
-    def draw(self, rng: np.random.Generator, count: int, when: np.ndarray) -> list[bytes]:
-        """Draw keys for requests at the times `when` (s). With drift, ranks move to other keys over time."""
+    def draw(self, rng: np.random.Generator, count: int, times: np.ndarray) -> list[bytes]:
+        """Draw keys for requests at these `times` (s). With drift, ranks move to other keys over time."""
         ranks = np.searchsorted(self._cumulative_shares, rng.random(count))
-        ranks_moved = (when * self._clients.drift * self._clients.keys).astype(int)
+        ranks_moved = (times * self._clients.drift * self._clients.keys).astype(int)
         return [self.names[rank] for rank in (ranks + ranks_moved) % self._clients.keys]
 
 
@@ -71,9 +71,9 @@
 
     def __init__(self, scenario: Scenario, keys: KeyDistribution) -> None:
         self.scenario = scenario
-        self.arrivals = self._draw(keys)
+        self.arrivals = self._draw_arrivals(keys)
 
-    def _draw(self, keys: KeyDistribution) -> list[Arrival]:
+    def _draw_arrivals(self, keys: KeyDistribution) -> list[Arrival]:
         """Draw all arrivals. Another order of the draws would change the arrivals of every seed."""
         scenario = self.scenario
         clients = scenario.clients
@@ -119,22 +119,22 @@
     def rate(self, at: float) -> float:
         """Return the intended rate, in requests per second, at the time `at` (s)."""
         phases = self.scenario.load
-        current = max((n for n, phase in enumerate(phases) if phase.at <= at), default=0)
-        phase = phases[current]
+        phase_index = max((n for n, phase in enumerate(phases) if phase.at <= at), default=0)
+        phase = phases[phase_index]
         if phase.to is None:
             return phase.rate
-        is_last = current + 1 == len(phases)
-        end = self.scenario.seconds if is_last else phases[current + 1].at
+        is_last = phase_index + 1 == len(phases)
+        end = self.scenario.seconds if is_last else phases[phase_index + 1].at
         progress = min(1.0, max(0.0, (at - phase.at) / (end - phase.at)))
         return phase.rate + (phase.to - phase.rate) * progress
 
     def _draw_times(self, rng: np.random.Generator) -> np.ndarray:
         """Draw the times of a Poisson process with a varying rate, by thinning."""
-        begin = -self.scenario.lead_s
+        start = -self.scenario.lead_s
         end = self.scenario.seconds
         peak = max(_peak_rate(phase) for phase in self.scenario.load)
-        count = rng.poisson(peak * (end - begin))
-        times = np.sort(rng.uniform(begin, end, count))
+        count = rng.poisson(peak * (end - start))
+        times = np.sort(rng.uniform(start, end, count))
         is_kept = rng.random(count) * peak < np.array([self.rate(at) for at in times])
         return np.asarray(times[is_kept])
 
--- a/tests/emulator/faulty_proxy.py
+++ b/tests/emulator/faulty_proxy.py
@@ -55,13 +55,13 @@
     endpoint_parser.ENDPOINT_STATES["leaving"] = EndpointState.READY
 
 
-def flood_youngest_node() -> None:
+def flood_newest_node() -> None:
     """Send all requests for cache nodes to the node that started last."""
     put = server_directory.ServerDirectory.put
     pool_for = server_directory.ServerDirectory.pool_for
     started_nodes: list[tuple[float, bytes]] = []
 
-    def note_started_node(
+    def record_started_node(
         self: server_directory.ServerDirectory, listed: ListedEndpoint, is_live: bool
     ) -> Endpoint:
         endpoint = put(self, listed, is_live)
@@ -69,20 +69,20 @@
             started_nodes.append((endpoint.started_at, endpoint.server))
         return endpoint
 
-    def pool_of_youngest(self: server_directory.ServerDirectory, server: bytes) -> Any:
+    def pool_of_newest_node(self: server_directory.ServerDirectory, server: bytes) -> Any:
         if started_nodes and server != ORIGIN:
             server = max(started_nodes)[1]
         return pool_for(self, server)
 
-    server_directory.ServerDirectory.put = note_started_node  # type: ignore[method-assign]
-    server_directory.ServerDirectory.pool_for = pool_of_youngest  # type: ignore[method-assign]
+    server_directory.ServerDirectory.put = record_started_node  # type: ignore[method-assign]
+    server_directory.ServerDirectory.pool_for = pool_of_newest_node  # type: ignore[method-assign]
 
 
 DEFECTS = {
     "double": send_writes_twice,
     "lose": lose_replies,
     "stale": ignore_drains,
-    "flood": flood_youngest_node,
+    "flood": flood_newest_node,
 }
 
 if __name__ == "__main__":
