--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -1,4 +1,4 @@
-"""The proxies under test: their configuration files, processes and signals, and the resources they use."""
+"""Manages the proxies under test: configuration files, processes, signals and resource usage."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lupinladder.emulator.clock import Clock
 from lupinladder.emulator.managed_proxy import Managed, measure_usage
 from lupinladder.emulator.ports import free_port
-from lupinladder.emulator.proxy_settings import settings
+from lupinladder.emulator.proxy_settings import build_settings
 from lupinladder.emulator.rule_checker import RuleChecker
 from lupinladder.emulator.scenario import Scenario
 from lupinladder.emulator.sockets import HOST
@@ -25,20 +25,20 @@
 from lupinladder.errors import LupinladderError
 
 READY_TIMEOUT_S = 15.0  # for the first PONG after a start
-RETRY_CONNECT_S = 0.02
-MAX_DEADLINE_S = 3.0  # a stop waits no longer than this for requests in progress
-STOP_MARGIN_S = 0.7  # beyond the longest deadline, until SIGKILL follows SIGTERM
-CLOSE_NOTICE_S = 0.05  # until clients have seen that a process which has ended closed their connections
-END_TIMEOUT_S = 5.0  # the same at the end of a run
-RELOAD_DELAY_MS = 1000.0  # SIGHUP never comes within the first second (LATER)
-STORE_INTERVAL_MS = 250
+CONNECT_RETRY_INTERVAL_S = 0.02  # between two attempts to connect after a start
+MAX_DEADLINE_S = 3.0  # upper bound of the deadline that a graceful stop allows for
+STOP_MARGIN_S = 0.7  # added to the longest deadline: time from SIGTERM to SIGKILL
+CLOSE_NOTICE_S = 0.05  # until clients have noticed that an ended process closed their connections
+END_TIMEOUT_S = 5.0  # time from SIGTERM to SIGKILL at the end of a run
+RELOAD_DELAY_MS = 1000.0  # SIGHUP is never sent within the first second after a start (LATER)
+STORE_INTERVAL_MS = 250  # between two writes of a proxy's store
 CPU_CORES = 1.0
 PING = b"*1\r\n$4\r\nPING\r\n"
 PONG = b"+PONG\r\n"
 
 
 class ProxyStartError(LupinladderError):
-    """A proxy ended, or did not answer PING in time, after its start."""
+    """A started proxy exited or did not answer PING in time."""
 
     def __init__(self, number: int, last_log_line: str) -> None:
         super().__init__(f"proxy {number} did not start: {last_log_line}")
@@ -47,7 +47,7 @@
 
 
 class Proxies:
-    """Starts, stops and watches the proxies of a run, and tells the rule checker."""
+    """Starts, stops and watches the proxies of a run, and reports their states to the rule checker."""
 
     def __init__(
         self,
@@ -58,7 +58,10 @@
         config: Callable[[Managed], dict[str, Any]],
         seed: Callable[[], int],
     ) -> None:
-        """`config` gives the part of a configuration that the run knows, `seed` a new seed for each file."""
+        """`config` returns the part of a proxy's configuration that depends on the run.
+
+        `seed` returns a new seed for each configuration file.
+        """
         self._clock = clock
         self._scenario = scenario
         self._rule_checker = rule_checker
@@ -73,14 +76,14 @@
         if scenario.proxies.faulty_system:
             self.system = SystemFaults(folder / "system.json")
         self._watchers: set[asyncio.Task[None]] = set()
-        self.on_up: Callable[[int], object] = _ignore
+        self.on_ready: Callable[[int], object] = _ignore
 
-    def store(self, proxy: Managed) -> Path:
-        """Where a proxy keeps its state over restarts."""
+    def store_path(self, proxy: Managed) -> Path:
+        """Return the path of the store in which the proxy keeps its state over restarts."""
         return proxy.folder / f"n{proxy.number}.store"
 
-    def write(self, proxy: Managed) -> Path:
-        """Write the configuration as it is now; the file is replaced as a whole."""
+    def write_config(self, proxy: Managed) -> Path:
+        """Replace the proxy's configuration file atomically by the current configuration; return its path."""
         config = {
             "name": f"n{proxy.number}",
             "listen": proxy.address,
@@ -91,7 +94,7 @@
                 "sockets": self._scenario.proxies.sockets,
             },
             "peer_listen": "{}:{}".format(*proxy.peer_listen),
-            "settings": settings(self._scenario, proxy.number, proxy.zone),
+            "settings": build_settings(self._scenario, proxy.number, proxy.zone),
             **self._config(proxy),
         }
         new_path = proxy.config_path.with_suffix(".new")
@@ -99,10 +102,13 @@
         return new_path.replace(proxy.config_path)
 
     async def start(self, proxy: Managed) -> None:
-        """Start a process and wait until it answers PING. ProxyStartError if it does not."""
-        config_path = self.write(proxy)
+        """Start the proxy's process and wait until it answers PING.
+
+        Raises ProxyStartError if it exits or does not answer in time.
+        """
+        config_path = self.write_config(proxy)
         proxy.starts += 1
-        proxy.expected_end = False
+        proxy.is_exit_expected = False
         proxy.is_ready = False
         proxy.needs_reload = False
         module = "lupinladder.emulator.faulty_system" if self.system else "lupinladder"
@@ -120,7 +126,7 @@
         if proxy.needs_reload:
             self._clock.at(self._clock.now() + RELOAD_DELAY_MS, partial(self.hup, proxy))
         self._rule_checker.proxy_started(self._clock.now(), proxy.number)
-        self.on_up(proxy.number)
+        self.on_ready(proxy.number)
 
     def _environment(self, proxy: Managed, config_path: Path) -> dict[str, str]:
         environment = {
@@ -137,11 +143,11 @@
 
     async def _wait_until_ready(self, proxy: Managed) -> None:
         limit = self._clock.now() + READY_TIMEOUT_S * 1000
-        while self._clock.now() < limit and proxy.running:
+        while self._clock.now() < limit and proxy.running_process:
             try:
                 reader, writer = await asyncio.open_connection(*proxy.listen)
             except OSError:
-                await asyncio.sleep(RETRY_CONNECT_S)
+                await asyncio.sleep(CONNECT_RETRY_INTERVAL_S)
                 continue
             writer.write(PING)
             answer = await reader.readline()
@@ -152,36 +158,36 @@
 
     async def _watch(self, proxy: Managed, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        is_expected = proxy.expected_end and code in (0, -signal.SIGKILL)
+        is_expected = proxy.is_exit_expected and code in (0, -signal.SIGKILL)
         if proxy.process is process and not is_expected:
             self._rule_checker.proxy_died(self._clock.now(), proxy.number, code)
 
     def look(self, start: float) -> None:
-        """Note what each process uses now; `start` is when the counted part begins (ms)."""
+        """Record the current usage of each process. The counted part starts at `start` (ms)."""
         for proxy in self.all:
-            process = proxy.running
+            process = proxy.running_process
             if process is None:
                 continue
             try:
-                usage = measure_usage(process.pid, (self._clock.now() - start) / 1000, proxy.cpu_before)
+                usage = measure_usage(process.pid, (self._clock.now() - start) / 1000, proxy.earlier_cpu_s)
             except psutil.Error:
                 continue
             proxy.usage.append(usage)
 
     def kill(self, proxy: Managed) -> None:
-        """Send SIGKILL."""
-        process = proxy.running
+        """Kill the proxy with SIGKILL."""
+        process = proxy.running_process
         if process:
-            proxy.on_stop()
+            proxy.prepare_stop()
             self._rule_checker.proxy_killed(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGKILL)
 
-    def freeze(self, proxy: Managed, still: bool) -> None:
-        """Send SIGSTOP, or SIGCONT if `still` is false."""
-        process = proxy.running
+    def set_suspended(self, proxy: Managed, is_suspended: bool) -> None:
+        """Suspend the proxy with SIGSTOP, or resume it with SIGCONT if `is_suspended` is false."""
+        process = proxy.running_process
         if process is None:
             return
-        if still:
+        if is_suspended:
             self._rule_checker.proxy_suspended(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGSTOP)
         else:
@@ -189,57 +195,65 @@
             process.send_signal(signal.SIGCONT)
 
     def hup(self, proxy: Managed) -> None:
-        """Write the configuration anew and send SIGHUP, or when the proxy is ready if it is not (LATER)."""
-        self.write(proxy)
-        if not proxy.running:
+        """Rewrite the configuration and send SIGHUP.
+
+        SIGHUP is never sent within the first second after a start (LATER), so a proxy that is not ready yet
+        gets it later.
+        """
+        self.write_config(proxy)
+        if not proxy.running_process:
             return
         if proxy.is_ready:
-            proxy.running.send_signal(signal.SIGHUP)
+            proxy.running_process.send_signal(signal.SIGHUP)
         else:
             proxy.needs_reload = True
 
-    def signal_stopping(self, proxy: Managed) -> None:
-        """Send SIGHUP and SIGTERM once more to a process that was told to stop."""
-        if proxy.running and proxy.expected_end:
-            proxy.running.send_signal(signal.SIGHUP)
-            proxy.running.send_signal(signal.SIGTERM)
+    def signal_during_shutdown(self, proxy: Managed) -> None:
+        """Send SIGHUP and SIGTERM to a process that is already shutting down."""
+        if proxy.running_process and proxy.is_exit_expected:
+            proxy.running_process.send_signal(signal.SIGHUP)
+            proxy.running_process.send_signal(signal.SIGTERM)
+
+    async def stop(self, proxy: Managed) -> None:
+        """Send SIGTERM and wait for the exit.
 
-    async def term(self, proxy: Managed) -> None:
-        """Send SIGTERM and wait for the end; SIGKILL follows no sooner than the longest deadline later."""
-        process = proxy.running
+        SIGKILL follows when the longest deadline (at most MAX_DEADLINE_S) and STOP_MARGIN_S have passed.
+        """
+        process = proxy.running_process
         if process is None:
             return
-        proxy.on_stop()
+        proxy.prepare_stop()
         self._rule_checker.proxy_stopping(self._clock.now(), proxy.number)
         process.send_signal(signal.SIGTERM)
         longest = max(request_class.deadline_ms / 1000 for request_class in self._scenario.classes)
         if await _kill_unless_ended(process, min(MAX_DEADLINE_S, longest) + STOP_MARGIN_S):
             self._rule_checker.counts["killed_after_term"] += 1
         else:
-            # A command that crossed the close of its connection is sent again: its client has to see the end.
+            # A client sends a command again if the proxy closed the connection as the command was sent. The
+            # client has to notice the close first.
             await asyncio.sleep(CLOSE_NOTICE_S)
-        # What it had received and not answered is lost; a planned stop excuses nothing.
+        # Requests that it had received and not answered are lost. A planned stop is no excuse for that.
         self._rule_checker.proxy_ended(self._clock.now(), proxy.number)
 
     async def end(self) -> None:
-        """End what still runs: SIGTERM to all, then SIGKILL to each that does not end in time."""
+        """Stop all processes with SIGTERM, and kill each that does not exit in time."""
         for proxy in self.all:
-            if proxy.running:
-                proxy.expected_end = True
-                proxy.running.send_signal(signal.SIGTERM)
+            if proxy.running_process:
+                proxy.is_exit_expected = True
+                proxy.running_process.send_signal(signal.SIGTERM)
         for proxy in self.all:
-            if proxy.running:
-                await _kill_unless_ended(proxy.running, END_TIMEOUT_S)
+            if proxy.running_process:
+                await _kill_unless_ended(proxy.running_process, END_TIMEOUT_S)
         for watcher in list(self._watchers):
             watcher.cancel()
 
 
 def _ignore(_proxy: int) -> None:
-    """For `on_up` until somebody wants to know."""
+    """Do nothing. This is the default of `on_ready`."""
 
 
 def _operator_file(folder: Path) -> Path:
-    """The operator's file that lets each proxy keep a store; it is written once."""
+    """Return the path of the operator's file that configures the stores. It is written at the first call."""
     path = folder / "operator.toml"
     if not path.exists():
         store = json.dumps(str(folder.resolve() / "{name}.store"))
@@ -248,7 +262,7 @@
 
 
 async def _kill_unless_ended(process: asyncio.subprocess.Process, timeout_s: float) -> bool:
-    """Wait for the end of a process and kill it at the timeout. Whether it had to be killed."""
+    """Wait for the exit of a process, and kill it at the timeout. Return whether it was killed."""
     try:
         await asyncio.wait_for(process.wait(), timeout_s)
     except TimeoutError:
--- a/lupinladder/emulator/workload.py
+++ b/lupinladder/emulator/workload.py
@@ -1,6 +1,7 @@
-"""Everything a run draws from its seed: the same seed gives the same plan.
+"""Draws the keys and arrivals of a run from its seed. The same seed always gives the same workload.
 
-numpy's SeedSequence gives every concern a stream of its own, so that one more fault shifts no arrival.
+Each purpose draws from its own random stream, seeded by numpy's SeedSequence. Another fault in the scenario
+therefore does not change the arrivals.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 MAX_VALUE_SIZE = 1 << 20  # bytes
 
 
-def random_stream(seed: int, concern: str) -> np.random.Generator:
-    """The generator of one concern, the same on every machine and in every process."""
-    return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(concern.encode())]))
+def random_stream(seed: int, purpose: str) -> np.random.Generator:
+    """Return the random generator for one purpose. It is the same on every machine and in every process."""
+    return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(purpose.encode())]))
 
 
 class KeyDistribution:
-    """A Zipf population of keys (p of rank r ~ 1 / (r + offset)^s), drifting, with sizes of its own."""
+    """A Zipf distribution of keys (p of rank r ~ 1 / (r + offset)^s) with drift and a size for each value."""
 
     def __init__(self, seed: int, clients: ClientsConfig) -> None:
         rng = random_stream(seed, "keys")
@@ -31,48 +32,49 @@
         self._cumulative_shares = np.cumsum(weights / weights.sum())
         sizes = clients.size[0] * rng.lognormal(0, clients.size[1], clients.keys)
         self._sizes = dict(zip(self.names, np.minimum(sizes, MAX_VALUE_SIZE).astype(int), strict=True))
-        # Objects that one pooled cache keeps, of as many keys as give the scenario's share of hits.
+        # How many keys one cache that pools the memory of the whole cluster holds: as many of the most
+        # popular keys as give the scenario's share of hits.
         self.pooled = int(np.searchsorted(self._cumulative_shares, clients.hits)) + 1
-        self._kept = set(self.names[: self.pooled])
+        self._pooled_keys = set(self.names[: self.pooled])
 
     def size(self, key: bytes) -> int:
-        """The size of the key's value, in bytes."""
+        """Return the size of the key's value, in bytes."""
         return int(self._sizes.get(key, self._clients.size[0]))
 
     def kept(self, key: bytes) -> bool:
-        """Whether one pooled cache of the cluster's size would hold the key."""
-        return key in self._kept
+        """Return whether one cache that pools the memory of the cluster would hold the key."""
+        return key in self._pooled_keys
 
-    def draw(self, rng: np.random.Generator, count: int, when: np.ndarray) -> list[bytes]:
-        """Keys for requests at these seconds; with drift, ranks move on to new keys with time."""
+    def draw(self, rng: np.random.Generator, count: int, times: np.ndarray) -> list[bytes]:
+        """Draw keys for requests at these `times` (s). With drift, ranks move to other keys over time."""
         ranks = np.searchsorted(self._cumulative_shares, rng.random(count))
-        ranks_moved = (when * self._clients.drift * self._clients.keys).astype(int)
+        ranks_moved = (times * self._clients.drift * self._clients.keys).astype(int)
         return [self.names[rank] for rank in (ranks + ranks_moved) % self._clients.keys]
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One request as its client intends it."""
+    """The arrival of a request, and the behaviour of the client that sends it."""
 
     at: float  # seconds from the start of the counted part
     request_class: int
     key: bytes
     zone: int
-    attempt_timeout: float  # ms until the client gives an attempt up
+    attempt_timeout: float  # time in ms after which the client gives up an attempt
     honours_retry_after: bool
-    keeps_connection: bool  # open for ever after the reply, and never uses it again
-    tenant: str = ""  # in a scenario with tenants
+    keeps_connection: bool  # keeps its connection open after the reply and never uses it again
+    tenant: str = ""  # empty in a scenario without tenants
 
 
 class ArrivalPlan:
-    """The arrivals of a run, drawn ahead: the proxies' replies change none of them."""
+    """The arrivals of a run. They are drawn in advance, so the proxies' replies do not change them."""
 
     def __init__(self, scenario: Scenario, keys: KeyDistribution) -> None:
         self.scenario = scenario
-        self.arrivals = self._draw(keys)
+        self.arrivals = self._draw_arrivals(keys)
 
-    def _draw(self, keys: KeyDistribution) -> list[Arrival]:
-        """Draw all arrivals. The order of the draws is part of what a seed means."""
+    def _draw_arrivals(self, keys: KeyDistribution) -> list[Arrival]:
+        """Draw all arrivals. Another order of the draws would change the arrivals of every seed."""
         scenario = self.scenario
         clients = scenario.clients
         rng = random_stream(scenario.seed, "arrivals")
@@ -115,29 +117,29 @@
         return [str(tenant) for tenant in drawn]
 
     def rate(self, at: float) -> float:
-        """Requests a second intended at this second."""
+        """Return the intended rate, in requests per second, at the time `at` (s)."""
         phases = self.scenario.load
-        current = max((n for n, phase in enumerate(phases) if phase.at <= at), default=0)
-        phase = phases[current]
+        phase_index = max((n for n, phase in enumerate(phases) if phase.at <= at), default=0)
+        phase = phases[phase_index]
         if phase.to is None:
             return phase.rate
-        is_last = current + 1 == len(phases)
-        end = self.scenario.seconds if is_last else phases[current + 1].at
+        is_last = phase_index + 1 == len(phases)
+        end = self.scenario.seconds if is_last else phases[phase_index + 1].at
         progress = min(1.0, max(0.0, (at - phase.at) / (end - phase.at)))
         return phase.rate + (phase.to - phase.rate) * progress
 
     def _draw_times(self, rng: np.random.Generator) -> np.ndarray:
-        """A Poisson process of changing rate, by thinning."""
-        begin = -self.scenario.lead_s
+        """Draw the times of a Poisson process with a varying rate, by thinning."""
+        start = -self.scenario.lead_s
         end = self.scenario.seconds
         peak = max(_peak_rate(phase) for phase in self.scenario.load)
-        count = rng.poisson(peak * (end - begin))
-        times = np.sort(rng.uniform(begin, end, count))
+        count = rng.poisson(peak * (end - start))
+        times = np.sort(rng.uniform(start, end, count))
         is_kept = rng.random(count) * peak < np.array([self.rate(at) for at in times])
         return np.asarray(times[is_kept])
 
     def _replace_by_hot_keys(self, times: np.ndarray, names: list[bytes], keys: KeyDistribution) -> None:
-        """Hot keys: a share of the traffic goes to one or a few keys for a while."""
+        """Replace the keys of a share of the requests by hot keys, while a hot-key fault lasts."""
         rng = random_stream(self.scenario.seed, "hot")
         for fault in self.scenario.faults:
             if fault.kind != "hot-key":
