--- a/lupinladder/emulator/managed_proxy.py
+++ b/lupinladder/emulator/managed_proxy.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Managed:
+class ManagedProxy:
     """A proxy under test. A restart replaces its process; the number, addresses and files stay the same."""
 
     number: int
--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -15,7 +15,7 @@
 import psutil
 
 from lupinladder.emulator.clock import Clock
-from lupinladder.emulator.managed_proxy import Managed, measure_usage
+from lupinladder.emulator.managed_proxy import ManagedProxy, measure_usage
 from lupinladder.emulator.ports import free_port
 from lupinladder.emulator.proxy_settings import build_settings
 from lupinladder.emulator.rule_checker import RuleChecker
@@ -55,7 +55,7 @@
         scenario: Scenario,
         rule_checker: RuleChecker,
         folder: Path,
-        config: Callable[[Managed], dict[str, Any]],
+        config: Callable[[ManagedProxy], dict[str, Any]],
         seed: Callable[[], int],
     ) -> None:
         """`config` returns the part of a proxy's configuration that depends on the run.
@@ -69,7 +69,7 @@
         self._seed = seed
         zones = len(scenario.fleet.zones)
         self.all = [
-            Managed(number, number % zones, (HOST, free_port()), (HOST, free_port()), folder)
+            ManagedProxy(number, number % zones, (HOST, free_port()), (HOST, free_port()), folder)
             for number in range(scenario.proxies.count)
         ]
         self.system: SystemFaults | None = None
@@ -78,11 +78,11 @@
         self._watchers: set[asyncio.Task[None]] = set()
         self.on_ready: Callable[[int], object] = _ignore
 
-    def store_path(self, proxy: Managed) -> Path:
+    def store_path(self, proxy: ManagedProxy) -> Path:
         """Return the path of the store in which the proxy keeps its state over restarts."""
         return proxy.folder / f"n{proxy.number}.store"
 
-    def write_config(self, proxy: Managed) -> Path:
+    def write_config(self, proxy: ManagedProxy) -> Path:
         """Replace the proxy's configuration file atomically by the current configuration; return its path."""
         config = {
             "name": f"n{proxy.number}",
@@ -101,7 +101,7 @@
         new_path.write_text(json.dumps(config))
         return new_path.replace(proxy.config_path)
 
-    async def start(self, proxy: Managed) -> None:
+    async def start(self, proxy: ManagedProxy) -> None:
         """Start the proxy's process and wait until it answers PING.
 
         Raises ProxyStartError if it exits or does not answer in time.
@@ -128,7 +128,7 @@
         self._rule_checker.proxy_started(self._clock.now(), proxy.number)
         self.on_ready(proxy.number)
 
-    def _environment(self, proxy: Managed, config_path: Path) -> dict[str, str]:
+    def _environment(self, proxy: ManagedProxy, config_path: Path) -> dict[str, str]:
         environment = {
             **os.environ,
             "GW_CONFIG": str(config_path),
@@ -141,7 +141,7 @@
             environment["LUPINLADDER_OPERATOR"] = str(_operator_file(proxy.folder))
         return environment
 
-    async def _wait_until_ready(self, proxy: Managed) -> None:
+    async def _wait_until_ready(self, proxy: ManagedProxy) -> None:
         limit = self._clock.now() + READY_TIMEOUT_S * 1000
         while self._clock.now() < limit and proxy.running_process:
             try:
@@ -156,7 +156,7 @@
                 return
         raise ProxyStartError(proxy.number, proxy.last_log_line())
 
-    async def _watch(self, proxy: Managed, process: asyncio.subprocess.Process) -> None:
+    async def _watch(self, proxy: ManagedProxy, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         is_expected = proxy.is_exit_expected and code in (0, -signal.SIGKILL)
         if proxy.process is process and not is_expected:
@@ -174,7 +174,7 @@
                 continue
             proxy.usage.append(usage)
 
-    def kill(self, proxy: Managed) -> None:
+    def kill(self, proxy: ManagedProxy) -> None:
         """Kill the proxy with SIGKILL."""
         process = proxy.running_process
         if process:
@@ -182,7 +182,7 @@
             self._rule_checker.proxy_killed(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGKILL)
 
-    def set_suspended(self, proxy: Managed, is_suspended: bool) -> None:
+    def set_suspended(self, proxy: ManagedProxy, is_suspended: bool) -> None:
         """Suspend the proxy with SIGSTOP, or resume it with SIGCONT if `is_suspended` is false."""
         process = proxy.running_process
         if process is None:
@@ -194,7 +194,7 @@
             self._rule_checker.proxy_resumed(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGCONT)
 
-    def hup(self, proxy: Managed) -> None:
+    def hup(self, proxy: ManagedProxy) -> None:
         """Rewrite the configuration and send SIGHUP.
 
         SIGHUP is never sent within the first second after a start (LATER), so a proxy that is not ready yet
@@ -208,13 +208,13 @@
         else:
             proxy.needs_reload = True
 
-    def signal_during_shutdown(self, proxy: Managed) -> None:
+    def signal_during_shutdown(self, proxy: ManagedProxy) -> None:
         """Send SIGHUP and SIGTERM to a process that is already shutting down."""
         if proxy.running_process and proxy.is_exit_expected:
             proxy.running_process.send_signal(signal.SIGHUP)
             proxy.running_process.send_signal(signal.SIGTERM)
 
-    async def stop(self, proxy: Managed) -> None:
+    async def stop(self, proxy: ManagedProxy) -> None:
         """Send SIGTERM and wait for the exit.
 
         SIGKILL follows when the longest deadline (at most MAX_DEADLINE_S) and STOP_MARGIN_S have passed.
--- a/lupinladder/emulator/proxy_faults.py
+++ b/lupinladder/emulator/proxy_faults.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from lupinladder.emulator.fault_context import FaultContext, FaultHandler
-from lupinladder.emulator.managed_proxy import Managed
+from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.scenario import FaultConfig
 from lupinladder.emulator.store_corruption import corrupt_stores
 
@@ -43,25 +43,25 @@
             "freeze": self._suspend_proxies,
         }
 
-    def _pick_proxies(self, share: float) -> list[Managed]:
+    def _pick_proxies(self, share: float) -> list[ManagedProxy]:
         """Draw this share of the proxies, at least one, and leave out those that another fault restarts."""
         proxies = self._proxies.all
         count = max(1, round(share * len(proxies)))
         picked = [proxies[n] for n in self._context.rng.permutation(len(proxies))[:count]]
         return [proxy for proxy in picked if proxy.number not in self._being_restarted]
 
-    def _kill_process(self, proxy: Managed) -> None:
+    def _kill_process(self, proxy: ManagedProxy) -> None:
         """Kill the proxy with SIGKILL. The clients notice it after a delay."""
         self._being_restarted.add(proxy.number)
         self._proxies.kill(proxy)
         noticed_at = self._clock.now() + DEATH_NOTICE_S * 1000
         self._clock.at(noticed_at, partial(self._notice_death, proxy))
 
-    def _notice_death(self, proxy: Managed) -> None:
+    def _notice_death(self, proxy: ManagedProxy) -> None:
         if proxy.process is None or proxy.process.returncode is not None:
             self._context.selector.alive[proxy.number] = False
 
-    async def _start(self, proxy: Managed) -> None:
+    async def _start(self, proxy: ManagedProxy) -> None:
         await self._proxies.start(proxy)
         self._being_restarted.discard(proxy.number)
         self._context.selector.alive[proxy.number] = True
@@ -133,7 +133,7 @@
         for proxy in self._proxies.all:
             await self._restart_gracefully(proxy, fault.for_s)
 
-    async def _restart_gracefully(self, proxy: Managed, down_s: float) -> None:
+    async def _restart_gracefully(self, proxy: ManagedProxy, down_s: float) -> None:
         """Send SIGTERM, and start the proxy again under the same name `down_s` after its exit.
 
         Clients open new connections to it for a short time after SIGTERM, and use their idle connections
@@ -151,7 +151,7 @@
         await self._start(proxy)
         self._context.record_event(f"proxy {proxy.number} started")
 
-    def _stop_selecting(self, proxy: Managed) -> None:
+    def _stop_selecting(self, proxy: ManagedProxy) -> None:
         self._context.selector.alive[proxy.number] = False
 
     async def _reload(self, fault: FaultConfig) -> None:
--- a/lupinladder/emulator/report.py
+++ b/lupinladder/emulator/report.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from lupinladder.emulator.client_request import Result
-from lupinladder.emulator.managed_proxy import Managed
+from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.result_statistics import (
     by_second,
     count_outcomes,
@@ -163,7 +163,7 @@
     }
 
 
-def _proxy_report(proxy: Managed) -> dict[str, Any]:
+def _proxy_report(proxy: ManagedProxy) -> dict[str, Any]:
     return {
         "number": proxy.number,
         "starts": proxy.starts,
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -19,7 +19,7 @@
 from lupinladder.emulator.cluster import Cluster
 from lupinladder.emulator.endpoint_list import ListedEndpoint
 from lupinladder.emulator.faults import FaultInjector
-from lupinladder.emulator.managed_proxy import Managed
+from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.peers import PeerRelays
 from lupinladder.emulator.proxies import Proxies
 from lupinladder.emulator.proxy_selector import ProxySelector
@@ -130,7 +130,7 @@
         self.cluster.close()
         self._peers.close()
 
-    def _proxy_config(self, proxy: Managed) -> dict[str, Any]:
+    def _proxy_config(self, proxy: ManagedProxy) -> dict[str, Any]:
         """Return the part of a proxy's configuration that depends on the cluster and on the other proxies."""
         index, endpoints = self._known_endpoints()
         text = self.cluster.endpoints.text(True, endpoints, self.cluster.addresses(proxy.number))
--- a/lupinladder/emulator/run_clients.py
+++ b/lupinladder/emulator/run_clients.py
@@ -9,7 +9,7 @@
 from lupinladder.emulator.client_request import Result
 from lupinladder.emulator.clock import Clock
 from lupinladder.emulator.load_generator import LoadGenerator
-from lupinladder.emulator.managed_proxy import Managed
+from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.misbehaving_clients import MisbehavingClients
 from lupinladder.emulator.proxy_selector import ProxySelector
 from lupinladder.emulator.rule_checker import RuleChecker
@@ -31,7 +31,7 @@
         clock: Clock,
         scenario: Scenario,
         rule_checker: RuleChecker,
-        proxies: Sequence[Managed],
+        proxies: Sequence[ManagedProxy],
         selector: ProxySelector,
         start: float,
     ) -> None:
--- a/lupinladder/emulator/run_result.py
+++ b/lupinladder/emulator/run_result.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from lupinladder.emulator.client_request import Result
-from lupinladder.emulator.managed_proxy import Managed
+from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.rule_violation import RuleViolation
 from lupinladder.emulator.scenario import Scenario
 
@@ -31,7 +31,7 @@
     counts: Counter[str]
     snapshots: list[Snapshot]
     events: list[tuple[float, str]]  # seconds since the start and a description, for the live view and plots
-    proxies: list[Managed]
+    proxies: list[ManagedProxy]
     late_share: float  # share of the time in which the emulator itself was late
     max_lateness_ms: float  # maximum lateness of the emulator in ms
     start_delay_p99_ms: float  # 99th percentile of the delay with which requests were started, ms
