--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -19,7 +19,7 @@
 
 from lupinladder.emulator import report, run
 from lupinladder.emulator.client_pool import ClientPool
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.clock import Clock, EventLoopLagMonitor
 from lupinladder.emulator.cluster import Cluster
 from lupinladder.emulator.load_generator import LoadGenerator
@@ -40,7 +40,7 @@
 class DirectRun:
     """What a run without proxies left."""
 
-    results: list[Result]
+    results: list[RequestResult]
     late_share: float
 
 
--- a/lupinladder/emulator/client_request.py
+++ b/lupinladder/emulator/client_request.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Result:
+class RequestResult:
     """The result of one request. Times are in ms unless stated otherwise."""
 
     at: float  # intended time of arrival, in seconds from the start of the counted part
@@ -78,7 +78,7 @@
     def _finish(self, reply: ClientReply) -> None:
         latency = self._generator.clock.now() - self._intended_at
         self._generator.on_finished(
-            Result(
+            RequestResult(
                 self._arrival.at,
                 self._arrival.request_class,
                 reply.outcome.value,
--- a/lupinladder/emulator/load_generator.py
+++ b/lupinladder/emulator/load_generator.py
@@ -14,7 +14,7 @@
 from lupinladder.emulator.client_attempt import ClientAttempt, ClientCommand
 from lupinladder.emulator.client_pool import ClientPool
 from lupinladder.emulator.client_reply import ClientReply
-from lupinladder.emulator.client_request import ClientRequest, Result
+from lupinladder.emulator.client_request import ClientRequest, RequestResult
 from lupinladder.emulator.clock import Clock
 from lupinladder.emulator.proxy_selector import ProxySelector
 from lupinladder.emulator.scenario import ClientsConfig, RequestClassConfig
@@ -45,7 +45,7 @@
         self.classes = classes
         self.config = config
         self.start = start
-        self.results: list[Result] = []
+        self.results: list[RequestResult] = []
         self.open_request_count = 0  # requests that are not finished
         self.last_request_id = b"0"  # the most recently assigned request id
         self._pools = pools
@@ -97,7 +97,7 @@
         """Draw the backoff before a retry, in ms."""
         return self.config.backoff_ms * float(self._rng.uniform(0.5, 1.5))
 
-    def on_finished(self, result: Result) -> None:
+    def on_finished(self, result: RequestResult) -> None:
         """Record the result of a finished request."""
         self.open_request_count -= 1
         self.results.append(result)
--- a/lupinladder/emulator/report.py
+++ b/lupinladder/emulator/report.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import Any, NamedTuple
 
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.result_statistics import (
     by_second,
@@ -99,7 +99,7 @@
 
 
 def _class_reports(
-    results: Sequence[Result], classes: Sequence[RequestClassConfig]
+    results: Sequence[RequestResult], classes: Sequence[RequestClassConfig]
 ) -> dict[str, dict[str, Any]]:
     reports = {}
     for index, request_class in enumerate(classes):
@@ -126,7 +126,7 @@
     return [Phase(names[start], start, end) for start, end in zip(starts, ends, strict=True) if end > start]
 
 
-def _phase_reports(results: Sequence[Result], scenario: Scenario) -> list[dict[str, Any]]:
+def _phase_reports(results: Sequence[RequestResult], scenario: Scenario) -> list[dict[str, Any]]:
     reports = []
     for phase in _phases(scenario):
         phase_results = [result for result in results if phase.start <= result.at < phase.end]
@@ -143,7 +143,7 @@
     return reports
 
 
-def _timeline(results: Sequence[Result], scenario: Scenario) -> list[dict[str, Any]]:
+def _timeline(results: Sequence[RequestResult], scenario: Scenario) -> list[dict[str, Any]]:
     return [
         {
             "at_s": float(second),
--- a/lupinladder/emulator/restart_recovery.py
+++ b/lupinladder/emulator/restart_recovery.py
@@ -12,7 +12,7 @@
 from typing import Any, Literal
 
 from lupinladder.emulator import report
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.result_statistics import count_outcomes, outcome_of
 from lupinladder.emulator.run_result import RunResult
 from lupinladder.emulator.scenario import FaultConfig, LoadPhase, ProxiesConfig, Scenario
@@ -71,7 +71,7 @@
 class WeightByStep:
     """The priority weight requested and answered in time, for each step of STEP_S of the intended time."""
 
-    def __init__(self, results: Sequence[Result], run_scenario: Scenario) -> None:
+    def __init__(self, results: Sequence[RequestResult], run_scenario: Scenario) -> None:
         steps = round(run_scenario.seconds / STEP_S)
         self._requested = [0.0] * steps
         self._in_time = [0.0] * steps
@@ -93,7 +93,7 @@
 
 
 def time_to_full_service(
-    results: Sequence[Result], run_scenario: Scenario, killed_at: float = KILLED_AT_S
+    results: Sequence[RequestResult], run_scenario: Scenario, killed_at: float = KILLED_AT_S
 ) -> float | None:
     """Return the seconds from the kill to full service, or None if full service was not reached.
 
--- a/lupinladder/emulator/result_statistics.py
+++ b/lupinladder/emulator/result_statistics.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.scenario import RequestClassConfig
 
 OUTCOMES = ("served", "late", "refused", "failed", "unanswered", "unsent")
@@ -17,19 +17,19 @@
 WORST_WINDOW_S = 10.0
 
 
-def outcome_of(result: Result, request_class: RequestClassConfig) -> str:
+def outcome_of(result: RequestResult, request_class: RequestClassConfig) -> str:
     """Return one of OUTCOMES: an answer after the class's latency objective is late, not served."""
     if result.outcome == "served" and result.latency > request_class.latency_objective_ms:
         return "late"
     return result.outcome
 
 
-def count_outcomes(results: Sequence[Result], classes: Sequence[RequestClassConfig]) -> dict[str, int]:
+def count_outcomes(results: Sequence[RequestResult], classes: Sequence[RequestClassConfig]) -> dict[str, int]:
     """Return how often each outcome happened; outcomes that never happened are left out."""
     return dict(Counter(outcome_of(result, classes[result.request_class]) for result in results))
 
 
-def latency_percentiles(results: Sequence[Result]) -> dict[str, float]:
+def latency_percentiles(results: Sequence[RequestResult]) -> dict[str, float]:
     """Return percentiles and the maximum (ms) of the latency of served requests, measured from the intended
     time of each; empty if none was served."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
@@ -44,7 +44,7 @@
     return percentiles | {"max": histogram.get_max_value() / 1000}
 
 
-def share_in_time(results: Sequence[Result], classes: Sequence[RequestClassConfig]) -> float:
+def share_in_time(results: Sequence[RequestResult], classes: Sequence[RequestClassConfig]) -> float:
     """Return the share of the requested priority weight that was answered within its latency objective; 1
     without requests."""
     requested = sum(classes[result.request_class].priority_weight for result in results)
@@ -57,7 +57,7 @@
 
 
 def worst_share_in_time(
-    results: Sequence[Result], classes: Sequence[RequestClassConfig], seconds: float
+    results: Sequence[RequestResult], classes: Sequence[RequestClassConfig], seconds: float
 ) -> float:
     """Return the lowest share in time over a window of WORST_WINDOW_S that starts at a full second; a shorter
     run is one window."""
@@ -79,9 +79,9 @@
     return min(shares, default=1.0)
 
 
-def by_second(results: Sequence[Result], seconds: float) -> list[tuple[int, list[Result]]]:
+def by_second(results: Sequence[RequestResult], seconds: float) -> list[tuple[int, list[RequestResult]]]:
     """Return the results by full second of their intended time; a run shorter than a second has one entry."""
-    results_by_second: dict[int, list[Result]] = defaultdict(list)
+    results_by_second: dict[int, list[RequestResult]] = defaultdict(list)
     for result in results:
         results_by_second[int(result.at)].append(result)
     return [(second, results_by_second[second]) for second in range(max(1, int(seconds)))]
--- a/lupinladder/emulator/run_clients.py
+++ b/lupinladder/emulator/run_clients.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from lupinladder.emulator.client_pool import ClientPool
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.clock import Clock
 from lupinladder.emulator.load_generator import LoadGenerator
 from lupinladder.emulator.managed_proxy import ManagedProxy
@@ -66,7 +66,7 @@
         self._misbehaving_task = clock.loop.create_task(self._start_misbehaving_clients())
 
     @property
-    def results(self) -> list[Result]:
+    def results(self) -> list[RequestResult]:
         """The results of the finished requests."""
         return self._load_generator.results
 
--- a/lupinladder/emulator/run_result.py
+++ b/lupinladder/emulator/run_result.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.managed_proxy import ManagedProxy
 from lupinladder.emulator.rule_violation import RuleViolation
 from lupinladder.emulator.scenario import Scenario
@@ -26,7 +26,7 @@
     """The result of a run."""
 
     scenario: Scenario
-    results: list[Result]
+    results: list[RequestResult]
     violations: list[RuleViolation]  # in the order of detection
     counts: Counter[str]
     snapshots: list[Snapshot]
--- a/tests/emulator/test_report.py
+++ b/tests/emulator/test_report.py
@@ -6,13 +6,13 @@
 from unittest import TestCase
 
 from lupinladder.emulator import report, report_comparison, result_statistics, scenario
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 
 
 class Statistics(TestCase):
     def test_percentiles_include_the_requests_that_were_due_while_a_proxy_stalled(self) -> None:
         """Latency is measured from the intended time, which avoids coordinated omission."""
-        results = [Result(n / 100, 0, "served", max(5.0, 500 - n * 10), 1, 0) for n in range(100)]
+        results = [RequestResult(n / 100, 0, "served", max(5.0, 500 - n * 10), 1, 0) for n in range(100)]
         self.assertGreater(result_statistics.latency_percentiles(results)["p90"], 400)
         self.assertAlmostEqual(
             result_statistics.share_in_time(results, scenario.read("calm").classes), 0.8, delta=0.02
--- a/tests/recovery/test_restart_recovery.py
+++ b/tests/recovery/test_restart_recovery.py
@@ -19,7 +19,7 @@
 
 from lupinladder.cli.app import app
 from lupinladder.emulator import restart_recovery
-from lupinladder.emulator.client_request import Result
+from lupinladder.emulator.client_request import RequestResult
 from lupinladder.emulator.ports import free_port
 from lupinladder.emulator.scenario import FaultConfig, LoadPhase, ProxiesConfig, Scenario
 from lupinladder.net.log import log_event
@@ -46,7 +46,7 @@
     return scenario
 
 
-def outcomes_from(results: list[Result], at: float) -> Counter[str]:
+def outcomes_from(results: list[RequestResult], at: float) -> Counter[str]:
     """Count the outcomes of the requests sent from second `at` on."""
     return Counter(result.outcome for result in results if result.at >= at)
 
@@ -226,10 +226,12 @@
     def test_full_service_starts_when_the_next_two_seconds_are_normal(self) -> None:
         measured_scenario = restart_recovery.make_scenario(4, 0.5, "kept", "up", 1)
 
-        def results(failing_span: tuple[float, float]) -> list[Result]:
+        def results(failing_span: tuple[float, float]) -> list[RequestResult]:
             times = [n / 50 for n in range(round(measured_scenario.seconds * 50))]
             return [
-                Result(at, 0, "failed" if failing_span[0] <= at < failing_span[1] else "served", 50.0, 1, 0)
+                RequestResult(
+                    at, 0, "failed" if failing_span[0] <= at < failing_span[1] else "served", 50.0, 1, 0
+                )
                 for at in times
             ]
 
