--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -162,7 +162,7 @@
         if proxy.process is process and not is_expected:
             self._rule_checker.proxy_died(self._clock.now(), proxy.number, code)
 
-    def look(self, start: float) -> None:
+    def record_usage(self, start: float) -> None:
         """Record the current usage of each process. The counted part starts at `start` (ms)."""
         for proxy in self.all:
             process = proxy.running_process
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -185,7 +185,7 @@
             }
             origin_held = self.cluster.origin.model.queue.job_count
             self._snapshots.append(Snapshot(round(at, 2), nodes, origin_held, self.clients.open_requests))
-            self.proxies.look(self._start)
+            self.proxies.record_usage(self._start)
             gc.collect(1)  # the young generations only: they hold the garbage of requests
             self.rule_checker.sweep(now)
             if self._observer:
