--- a/lupinladder/emulator/environment_faults.py
+++ b/lupinladder/emulator/environment_faults.py
@@ -55,7 +55,7 @@
         """Move discovery to a new address, write it to the proxies' configuration and send them SIGHUP."""
         self._cluster.discovery.move(OLD_DISCOVERY_LINGER_S)
         for proxy in self._context.proxies.all:
-            self._context.proxies.hup(proxy)
+            self._context.proxies.reload(proxy)
 
     async def _slow_origin(self, fault: FaultConfig) -> None:
         """Make the origin slower by the factor `size`."""
--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -124,7 +124,7 @@
         await self._wait_until_ready(proxy)
         proxy.is_ready = True
         if proxy.needs_reload:
-            self._clock.at(self._clock.now() + RELOAD_DELAY_MS, partial(self.hup, proxy))
+            self._clock.at(self._clock.now() + RELOAD_DELAY_MS, partial(self.reload, proxy))
         self._rule_checker.proxy_started(self._clock.now(), proxy.number)
         self.on_ready(proxy.number)
 
@@ -194,7 +194,7 @@
             self._rule_checker.proxy_resumed(self._clock.now(), proxy.number)
             process.send_signal(signal.SIGCONT)
 
-    def hup(self, proxy: ManagedProxy) -> None:
+    def reload(self, proxy: ManagedProxy) -> None:
         """Rewrite the configuration and send SIGHUP.
 
         SIGHUP is never sent within the first second after a start (LATER), so a proxy that is not ready yet
--- a/lupinladder/emulator/proxy_faults.py
+++ b/lupinladder/emulator/proxy_faults.py
@@ -156,14 +156,14 @@
 
     async def _reload(self, fault: FaultConfig) -> None:
         """Rewrite the configuration of one proxy and send SIGHUP."""
-        self._proxies.hup(self._proxies.all[fault.proxy])
+        self._proxies.reload(self._proxies.all[fault.proxy])
 
     async def _send_signals(self, fault: FaultConfig) -> None:
         """Reload and restart a part of the proxies, and send SIGHUP and SIGTERM again during the shutdown."""
         picked = self._pick_proxies(fault.part)
         for proxy in picked:
             for _ in range(RELOADS_IN_A_ROW):
-                self._proxies.hup(proxy)
+                self._proxies.reload(proxy)
         restarts = [asyncio.ensure_future(self._restart_gracefully(proxy, fault.for_s)) for proxy in picked]
         for _ in range(SIGNALS_WHILE_STOPPING):
             await asyncio.sleep(SIGNAL_INTERVAL_S)
