--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -235,7 +235,7 @@
         # Requests that it had received and not answered are lost. A planned stop is no excuse for that.
         self._rule_checker.proxy_ended(self._clock.now(), proxy.number)
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         """Stop all processes with SIGTERM, and kill each that does not exit in time."""
         for proxy in self.all:
             if proxy.running_process:
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -126,7 +126,7 @@
                 raise outcome
 
     async def _close(self) -> None:
-        await self.proxies.end()
+        await self.proxies.stop_all()
         self.cluster.close()
         self._peers.close()
 
