--- a/lupinladder/emulator/environment_faults.py
+++ b/lupinladder/emulator/environment_faults.py
@@ -71,9 +71,9 @@
 
     async def _step_wall_clock(self, fault: FaultConfig) -> None:
         """Step the wall clock of all machines by `size` seconds."""
-        system = self._context.proxies.system
-        assert system
-        system.step_wall_clock(fault.size * 1000)
+        system_faults = self._context.proxies.system_faults
+        assert system_faults
+        system_faults.step_wall_clock(fault.size * 1000)
         self._cluster.wall_step_ms += fault.size * 1000
 
     async def _delay_zone(self, fault: FaultConfig) -> None:
--- a/lupinladder/emulator/proxies.py
+++ b/lupinladder/emulator/proxies.py
@@ -72,9 +72,9 @@
             ManagedProxy(number, number % zones, (HOST, free_port()), (HOST, free_port()), folder)
             for number in range(scenario.proxies.count)
         ]
-        self.system: SystemFaults | None = None
+        self.system_faults: SystemFaults | None = None
         if scenario.proxies.faulty_system:
-            self.system = SystemFaults(folder / "system.json")
+            self.system_faults = SystemFaults(folder / "system.json")
         self._watchers: set[asyncio.Task[None]] = set()
         self.on_ready: Callable[[int], object] = _ignore
 
@@ -111,7 +111,7 @@
         proxy.is_exit_expected = False
         proxy.is_ready = False
         proxy.needs_reload = False
-        module = "lupinladder.emulator.faulty_system" if self.system else "lupinladder"
+        module = "lupinladder.emulator.faulty_system" if self.system_faults else "lupinladder"
         command = self._scenario.proxies.command or [sys.executable, "-m", module]
         environment = self._environment(proxy, config_path)
         with proxy.log_path.open("ab") as log:
@@ -135,8 +135,8 @@
             "GW_NAME": f"n{proxy.number}",
             "GW_LISTEN": proxy.address,
         }
-        if self.system:
-            environment[STATE_VARIABLE] = str(self.system.path)
+        if self.system_faults:
+            environment[STATE_VARIABLE] = str(self.system_faults.path)
         if self._scenario.proxies.store:
             environment["LUPINLADDER_OPERATOR"] = str(_operator_file(proxy.folder))
         return environment
--- a/lupinladder/emulator/proxy_faults.py
+++ b/lupinladder/emulator/proxy_faults.py
@@ -121,11 +121,11 @@
 
     async def _fail_calls(self, fault: FaultConfig) -> None:
         """Let a share of the system calls of all proxies fail or transfer only a part, for `for_s`."""
-        system = self._proxies.system
-        assert system
-        system.fail_calls(fault.part)
+        system_faults = self._proxies.system_faults
+        assert system_faults
+        system_faults.fail_calls(fault.part)
         await asyncio.sleep(fault.for_s)
-        system.fail_calls(0.0)
+        system_faults.fail_calls(0.0)
         self._context.record_event("calls succeed again")
 
     async def _restart_all(self, fault: FaultConfig) -> None:
