--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -137,7 +137,7 @@
         if wait_ms > SHORTEST_SLEEP_MS:
             await asyncio.sleep(wait_ms / 1000)
         arrival.zone = 0
-        generator.begin(arrival)
+        generator.start_request(arrival)
     await asyncio.sleep(FINISH_S)
 
 
--- a/lupinladder/emulator/load_generator.py
+++ b/lupinladder/emulator/load_generator.py
@@ -53,7 +53,7 @@
         self._rng = rng
         self._id_state = int(rng.integers(1, 1 << 62))
 
-    def begin(self, arrival: Arrival) -> None:
+    def start_request(self, arrival: Arrival) -> None:
         """Start the request of this arrival."""
         self.open_request_count += 1
         ClientRequest(self, arrival).start_next_attempt()
--- a/lupinladder/emulator/run_clients.py
+++ b/lupinladder/emulator/run_clients.py
@@ -86,7 +86,7 @@
             wait_ms = self._start + arrival.at * 1000 - self._clock.now()
             if wait_ms > MIN_SLEEP_MS:
                 await asyncio.sleep(wait_ms / 1000)
-            self._load_generator.begin(arrival)
+            self._load_generator.start_request(arrival)
         await self._wait_until_finished()
 
     def close(self) -> None:
