--- a/lupinladder/emulator/misbehaving_clients.py
+++ b/lupinladder/emulator/misbehaving_clients.py
@@ -76,7 +76,7 @@
 
         `last_request_id` returns the id of a well-behaved client's request, which is used as a stolen id.
         """
-        self.reactions_owed: Counter[str] = Counter()  # by misbehaviour
+        self.reactions_expected: Counter[str] = Counter()  # by misbehaviour
         self.reactions_missing: Counter[str] = Counter()
         self.open_client_count = 0
         self._clock = clock
@@ -103,7 +103,7 @@
         except OSError:
             return  # no proxy is listening, so no reaction is owed
         self.open_client_count += 1
-        self.reactions_owed[misbehaviour] += 1
+        self.reactions_expected[misbehaviour] += 1
         connection.start(self._opening_bytes(misbehaviour))
         limit_ms = BIG_VALUE_REACTION_TIME_MS if misbehaviour == "big" else REACTION_TIME_MS
         try:
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -216,7 +216,7 @@
             void=self._void_reason(late_share),
             origin_stops=self.cluster.origin.model.stops,
             rates=self.rule_checker.log.rates,
-            misbehaving_sent=self.clients.misbehaving.reactions_owed,
+            misbehaving_sent=self.clients.misbehaving.reactions_expected,
             misbehaving_unanswered=self.clients.misbehaving.reactions_missing,
             connections=self.clients.connections,
             logs=str(self._folder),
