--- a/lupinladder/emulator/cache_node.py
+++ b/lupinladder/emulator/cache_node.py
@@ -52,7 +52,7 @@
         self._starts_empty = starts_empty
         self._shared_data = shared_data
         self._rng = rng
-        memory_size = shared_data.keys.pooled * config.memory / config.nodes
+        memory_size = shared_data.keys.pooled_cache_size * config.memory / config.nodes
         self.memory = CacheMemory(max(1, round(memory_size)), config.evict == "fifo")
         self.queue = ProcessorSharingQueue(
             now,
--- a/lupinladder/emulator/shared_data.py
+++ b/lupinladder/emulator/shared_data.py
@@ -57,7 +57,7 @@
         if key in self._looked_up_keys:
             return False
         self._looked_up_keys.add(key)
-        return node_started_before_run and self.keys.kept(key)
+        return node_started_before_run and self.keys.is_in_pooled_cache(key)
 
     def record_miss(self, request_id: bytes, node: str) -> None:
         """Record that this node missed for this request."""
--- a/lupinladder/emulator/workload.py
+++ b/lupinladder/emulator/workload.py
@@ -34,14 +34,14 @@
         self._sizes = dict(zip(self.names, np.minimum(sizes, MAX_VALUE_SIZE).astype(int), strict=True))
         # How many keys one cache that pools the memory of the whole cluster holds: as many of the most
         # popular keys as give the scenario's share of hits.
-        self.pooled = int(np.searchsorted(self._cumulative_shares, clients.hits)) + 1
-        self._pooled_keys = set(self.names[: self.pooled])
+        self.pooled_cache_size = int(np.searchsorted(self._cumulative_shares, clients.hits)) + 1
+        self._pooled_keys = set(self.names[: self.pooled_cache_size])
 
     def size(self, key: bytes) -> int:
         """Return the size of the key's value, in bytes."""
         return int(self._sizes.get(key, self._clients.size[0]))
 
-    def kept(self, key: bytes) -> bool:
+    def is_in_pooled_cache(self, key: bytes) -> bool:
         """Return whether one cache that pools the memory of the cluster would hold the key."""
         return key in self._pooled_keys
 
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -125,4 +125,4 @@
         rate = len(plan.arrivals) / (plan.scenario.seconds + plan.scenario.lead_s)
         self.assertAlmostEqual(rate, 150, delta=12)
         drawn = keys.draw(np.random.default_rng(1), 20_000, np.zeros(20_000))
-        self.assertAlmostEqual(sum(map(keys.kept, drawn)) / 20_000, 0.9, delta=0.01)
+        self.assertAlmostEqual(sum(map(keys.is_in_pooled_cache, drawn)) / 20_000, 0.9, delta=0.01)
