--- a/benchmarks/endpoint_update_cost.py
+++ b/benchmarks/endpoint_update_cost.py
@@ -1,8 +1,9 @@
-"""What a change of the endpoint list costs one proxy's loop, by the number of cache nodes. No sockets.
+"""Measures how long one endpoint list update blocks a proxy's event loop, by number of cache nodes.
 
     .venv/bin/python -m benchmarks.endpoint_update_cost [NODES ...]
 
-Each figure is the least of three calls, in ms of one processor: for so long the loop answers nobody.
+Each figure is the minimum of three calls, in ms; the event loop answers no request during that time. No
+sockets are used.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def least_ms(call: Callable[[], object], calls: int = CALLS) -> float:
-    """The least time of several calls."""
+    """Return the minimum duration of several calls, in ms."""
     times = list[float]()
     for _ in range(calls):
         begun = time.perf_counter()
@@ -36,12 +37,12 @@
 
 
 def endpoints(count: int, first: int = 0) -> list[Endpoint]:
-    """So many endpoints of ready servers."""
+    """Return `count` endpoints of ready servers."""
     return [Endpoint(f"s-{number:08x}".encode()) for number in range(first, first + count)]
 
 
 class ListedBalancer:
-    """A balancer that knows a list of so many servers, and the time that its calls take."""
+    """A balancer with a list of `nodes` servers, and the operations to measure on it."""
 
     def __init__(self, nodes: int) -> None:
         settings = Settings([RequestClass(500, 1500)], balancer_count=BALANCERS)
@@ -56,21 +57,21 @@
         self.balancer.handle(EndpointUpdate(kind, self.version, changed), 1.0)
 
     def add_server(self) -> None:
-        """Take in a list that names one server more."""
+        """Handle a delta that adds one server."""
         self._tell(EndpointUpdateKind.DELTA, endpoints(1, self.nodes + self.version))
 
     def repeat_list(self) -> None:
-        """Take in a whole list in which next to nothing has changed."""
+        """Handle a snapshot that is almost identical to the current list."""
         self._tell(EndpointUpdateKind.FULL, endpoints(self.nodes))
 
     def review(self) -> None:
-        """Make the review that is due from time to time."""
+        """Run the periodic review of the servers."""
         self.balancer.review_at = 0.0
         self.balancer.handle(TimerFired(0), 2.0)
 
 
 def whole_list(nodes: int) -> dict[str, object]:
-    """A list of so many cache nodes, as discovery tells it."""
+    """Return a snapshot of `nodes` cache nodes, as discovery sends it."""
     entries = [
         {**ENTRY, "name": f"s-{number:08x}", "address": f"127.0.{number >> 8}.{number & 255}:6379"}
         for number in range(nodes)
@@ -79,7 +80,7 @@
 
 
 def measure(nodes: int) -> dict[str, float]:
-    """The cost of each part, in ms."""
+    """Measure the time of each operation, in ms."""
     listed = ListedBalancer(nodes)
     tree = whole_list(nodes)
     text = json.dumps(tree)
@@ -88,7 +89,7 @@
     with mock.patch("builtins.print"):
         return {
             "first list": listed.first_list_ms,
-            "one server more": least_ms(listed.add_server),
+            "one server added": least_ms(listed.add_server),
             "same list": least_ms(listed.repeat_list),
             "review": least_ms(listed.review),
             "JSON": least_ms(lambda: json.loads(text)),
@@ -99,7 +100,7 @@
 
 
 def main() -> None:
-    """Print a line for each number of nodes."""
+    """Print one line of results for each number of nodes."""
     for nodes in [int(argument) for argument in sys.argv[1:]] or DEFAULT_NODES:
         figures = measure(nodes)
         print(f"{nodes:5d} nodes:", ", ".join(f"{name} {figure:.2f}" for name, figure in figures.items()))
--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -1,8 +1,10 @@
-"""What a fleet of balancers does in sum, by their number, at the same traffic.
+"""Measures the total behaviour of a fleet of balancers under the same load, by number of balancers.
 
-`python -m benchmarks.fleet_sums`: model nodes in virtual time (benchmarks/model_fleet.py), 12 of them at 110
-requests a second, mean of three seeds. One is slow, one vanishes without a word, one starts cold, each in a
-run of its own.
+Run: python -m benchmarks.fleet_sums
+
+The fleet sends 110 requests a second to 12 model nodes in virtual time (benchmarks/model_fleet.py). In
+separate runs one node is slow, one becomes unreachable, and one starts with a cold cache. Each figure is the
+mean of three seeds.
 """
 
 from __future__ import annotations
@@ -21,8 +23,8 @@
     node.speed = 0.05
     fleet.run(10_000, REQUESTS_PER_SECOND)
     return {
-        "sends a second to a slow server": sum(node.sent[s] for s in range(5, 10)) / 5,
-        "answered in time meanwhile": fleet.served(5, 10),
+        "requests a second sent to a slow server": sum(node.sent[s] for s in range(5, 10)) / 5,
+        "share of requests answered in time meanwhile": fleet.served(5, 10),
     }
 
 
@@ -30,7 +32,7 @@
     node = list(fleet.nodes.values())[5]
     node.reached = False
     fleet.run(10_000, REQUESTS_PER_SECOND)
-    return {"connects a second to a server that has vanished": sum(node.sent[s] for s in range(5, 10)) / 5}
+    return {"connects a second to an unreachable server": sum(node.sent[s] for s in range(5, 10)) / 5}
 
 
 def warming_up(fleet: Fleet) -> dict[str, float]:
@@ -38,9 +40,9 @@
     fleet.run(14_000, REQUESTS_PER_SECOND)
     origin = fleet.nodes[ORIGIN]
     return {
-        "most sends in a second to a cold server, first 5 s": max(node.sent[s] for s in range(4, 9)),
-        "sends a second to a cold server, first 5 s": sum(node.sent[s] for s in range(4, 9)) / 5,
-        "fetches a second at the origin": sum(origin.sent[s] for s in range(5, 13)) / 8,
+        "maximum requests in a second to a cold server, first 5 s": max(node.sent[s] for s in range(4, 9)),
+        "requests a second to a cold server, first 5 s": sum(node.sent[s] for s in range(4, 9)) / 5,
+        "requests a second at the origin": sum(origin.sent[s] for s in range(5, 13)) / 8,
     }
 
 
--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -1,7 +1,9 @@
-"""What the emulator can drive, and what a proxy adds: `python -m benchmarks.lab_capacity [--rates ...]`.
+"""Measures the load that the emulator can generate, and the latency and CPU time that a proxy adds.
 
-A cluster with cores to spare answers in a millisecond, so that the figures are those of the emulator
-and the proxies. The direct path is the same clients on the same nodes with nothing between.
+Run: python -m benchmarks.lab_capacity [--rates ...]
+
+The emulated cluster has spare cores and answers in a millisecond, so that the emulator and the proxies
+determine the figures. In the direct runs the same clients connect to the same nodes without a proxy.
 """
 
 from __future__ import annotations
@@ -38,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectRun:
-    """What a run without proxies left."""
+    """The results of a run without proxies."""
 
     results: list[Result]
     late_share: float
 
 
 def make_scenario(rate: float, proxies: int) -> Scenario:
-    """A cluster that is never the bottleneck, at this many requests a second."""
+    """Return a scenario with `rate` requests a second and a cluster that is never the bottleneck."""
     scenario = Scenario(SECONDS, [LoadPhase(0, rate)], lead_s=1.0)
     scenario.classes = [RequestClassConfig("map-view", 1.0, 1.0, 300, 600, 5, cv=0.1)]
     scenario.fleet.cores = 32.0
@@ -66,7 +68,7 @@
 
 
 def measure_through_proxies(rate: float, proxies: int) -> dict[str, Any]:
-    """The figures of a run through this many proxies, with the CPU time that they took for each request."""
+    """Run with this many proxies; return the figures and the CPU time of the proxies for each request."""
     outcome = run.play(make_scenario(rate, proxies))
     cpu_s = 0.0
     span_s = 0.0
@@ -91,7 +93,7 @@
 
 
 def measure_direct(rate: float) -> dict[str, Any]:
-    """The figures of a run in which the clients talk to the nodes."""
+    """Run with clients that connect directly to the nodes; return the figures."""
     outcome = uvloop.run(_run_direct(make_scenario(rate, 1)))
     counted = [result for result in outcome.results if result.at >= 0]
     latency_ms = latency_percentiles(counted)
@@ -99,7 +101,7 @@
 
 
 async def _run_direct(scenario: Scenario) -> DirectRun:
-    scenario.fleet.nodes = 1  # which then holds every key, as the proxies' nodes do
+    scenario.fleet.nodes = 1  # a single node stores every key, as the nodes behind the proxies do
     clock = Clock()
     keys = KeyDistribution(scenario.seed, scenario.clients)
     rule_checker = RuleChecker(scenario.classes, 1, clock.now())
@@ -131,7 +133,7 @@
 
 
 async def _begin_arrivals(generator: LoadGenerator, plan: ArrivalPlan, clock: Clock, start: float) -> None:
-    """Begin every request at its time, and wait until all have their replies."""
+    """Start each request at its scheduled time, then give the last ones time to finish."""
     for arrival in plan.arrivals:
         wait_ms = start + arrival.at * 1000 - clock.now()
         if wait_ms > SHORTEST_SLEEP_MS:
@@ -143,7 +145,7 @@
 
 @contextmanager
 def _no_garbage_collection() -> Iterator[None]:
-    """A full collection takes tens of ms, which would count as latency."""
+    """Disable garbage collection: a full collection takes tens of ms and would be measured as latency."""
     gc.collect()
     gc.freeze()
     gc.disable()
@@ -159,7 +161,7 @@
 
 
 def main() -> None:
-    """Print one line of JSON for each rate and path."""
+    """Print one line of JSON for each rate, without proxies and with each number of proxies."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rates", type=float, nargs="+", default=[200, 800, 1600, 2400, 3200])
     parser.add_argument("--proxies", type=int, nargs="+", default=[1, 3])
--- a/benchmarks/model_fleet.py
+++ b/benchmarks/model_fleet.py
@@ -1,4 +1,4 @@
-"""Many balancers before shared model nodes in virtual time: what is seen of the sum over the fleet alone."""
+"""A model of many balancers and shared nodes in virtual time, for measuring the total load of a fleet."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 CONNECT_TIMEOUT_MS = 120.0
 REQUEST_TIMEOUT_MS = 600.0
 LATENCY_OBJECTIVE_MS = 300.0
-MISS_WORK_SHARE = 0.2  # of a hit's work
+MISS_WORK_SHARE = 0.2  # relative to the work of a hit
 
 
 def sid(n: int) -> bytes:
-    """A server's id; ids tell nothing of their order."""
+    """Return the id of server `n`; the ids do not sort in the order of the numbers."""
     return (n * 2654435761 % 2**32).to_bytes(4, "big") + n.to_bytes(2, "big")
 
 
@@ -42,7 +42,7 @@
 
 
 class Node:
-    """One core, first come first served, with the load report that real nodes give."""
+    """A model node with a FIFO queue, which sends load reports as cache nodes do."""
 
     def __init__(self, key: int, cores: int = 1) -> None:
         self.id = sid(key)
@@ -51,9 +51,9 @@
         self.reached = True
         self.kept = set[int]()
         self.line = deque[tuple[Any, float]]()
-        self.work = 0  # requests in work
-        self.ended = deque[float]()  # in the last second
-        self.sent = Counter[int]()  # attempts that reached it, or tried to, by second
+        self.work = 0  # requests being processed
+        self.ended = deque[float]()  # completion times within the last second
+        self.sent = Counter[int]()  # attempts sent to this node in each second, including failed connects
 
 
 class Fleet:
@@ -84,7 +84,7 @@
         )
         self.weights = [1 / (n + 5) for n in range(keys)]
         self.balancers = list[Balancer]()
-        # By second: requests, those answered in time, and those rejected.
+        # Counts by second: all requests, requests answered in time, and rejected requests.
         self.asked = Counter[int]()
         self.in_time = Counter[int]()
         self.rejected = Counter[int]()
@@ -169,7 +169,7 @@
         self.serve(node)
 
     def join(self) -> Node:
-        """A server that starts now, and that all balancers hear of at once."""
+        """Add a server that starts now; all balancers are notified immediately."""
         node = Node(len(self.nodes))
         self.nodes[node.id] = node
         for n in range(len(self.balancers)):
@@ -178,7 +178,7 @@
         return node
 
     def run(self, until: float, rate: float) -> None:
-        """Requests at `rate` a second over the whole fleet, until this time in ms."""
+        """Send `rate` requests a second through the whole fleet until the time `until`, in ms."""
         at = self.now
         while (at := at + self.random.expovariate(rate / 1000)) < until:
             n = self.random.randrange(len(self.balancers))
@@ -189,13 +189,13 @@
         self.now = until
 
     def served(self, since: int, until: int) -> float:
-        """The share answered in time of what was asked in these seconds."""
+        """Return the share of the requests of these seconds that were answered in time."""
         seconds = range(since, until)
         return sum(self.in_time[s] for s in seconds) / sum(self.asked[s] for s in seconds)
 
 
 class _Job:
-    """An attempt at a node."""
+    """An attempt that a node processes."""
 
     def __init__(
         self, fleet: Fleet, balancer: int, request: int, number: int, key: int, node: Node, asked: float
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -1,4 +1,4 @@
-"""What keeping a store costs, by the number of servers: CPU to collect changes and to flush them, and bytes.
+"""Measures the cost of the store by number of servers: CPU time to collect and flush changes, bytes written.
 
 Run: python -m benchmarks.store_cost
 """
@@ -25,7 +25,7 @@
 
 @dataclass
 class Cost:
-    """The cost of a second of a busy proxy."""
+    """The cost for each second of a busy proxy."""
 
     collecting_ms: float = 0.0  # of CPU
     writing_ms: float = 0.0  # of CPU
@@ -33,11 +33,11 @@
 
 
 def ignore_event(event: str, /, **fields: object) -> None:
-    """Nothing is reported of a store that works."""
+    """Discard the event."""
 
 
 def limits(servers: int, second: int) -> list[LimitRecord]:
-    """Limits that all change by more than a tenth each window of ten seconds."""
+    """Return limits, all of which change by more than 10 % in each window of ten seconds."""
     return [
         LimitRecord(f"s-{n}", 1.0, second * 1000.0, 16, 50.0 * (1 + (second + n) // 10 % 2), 3.0)
         for n in range(servers)
@@ -45,7 +45,7 @@
 
 
 def measure(servers: int) -> Cost:
-    """The mean cost of a second with so many servers."""
+    """Measure the mean cost for each second with this many servers."""
     cost = Cost()
     with tempfile.TemporaryDirectory() as folder:
         store = Store(Path(folder) / "n.store", StoreOwner("n", "s"), 0.0, ignore_event)
@@ -71,7 +71,7 @@
 
 
 if __name__ == "__main__":
-    print("servers  look ms/s  write ms/s  bytes/s")
+    print("servers  collect ms/s  write ms/s  bytes/s")
     for servers in (12, 60, 200):
         cost = measure(servers)
-        print(f"{servers:7}  {cost.collecting_ms:9.2f}  {cost.writing_ms:10.2f}  {cost.bytes_written:7.0f}")
+        print(f"{servers:7}  {cost.collecting_ms:12.2f}  {cost.writing_ms:10.2f}  {cost.bytes_written:7.0f}")
--- a/lupinladder/cli/__init__.py
+++ b/lupinladder/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `lupinladder` with arguments. Without any, the program is the proxy."""
+"""The command line of `lupinladder`. Without arguments the program runs the proxy instead."""
--- a/lupinladder/cli/app.py
+++ b/lupinladder/cli/app.py
@@ -1,4 +1,4 @@
-"""The root of the command line."""
+"""The root command `lupinladder`."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     "emulator": LazyCommand(
         "lupinladder.cli.emulator",
         "emulator",
-        "Emulated servers, scenarios, load and reports.",
+        "Run emulated servers and scenarios, and compare reports.",
     ),
     "store": LazyCommand(
         "lupinladder.cli.store",
         "store",
-        "What a proxy keeps over a restart: show, check, cut.",
+        "Show, check or repair the store, which keeps a proxy's state across restarts.",
     ),
 }
 FORMER_NAMES = {"lab": "emulator"}
@@ -36,7 +36,7 @@
 @click.version_option(package_name="lupinladder")
 @example("lupinladder demo --seconds 15")
 def app() -> None:
-    """A proxy for clusters of cache nodes, and the tools around it.
+    """A proxy for clusters of cache nodes, with its tools.
 
-    Without arguments the program is the proxy that GW_CONFIG configures.
+    Without arguments the program runs the proxy, with the configuration file that GW_CONFIG names.
     """
--- a/lupinladder/cli/command_group.py
+++ b/lupinladder/cli/command_group.py
@@ -1,4 +1,4 @@
-"""Groups of commands: loaded when they are used, and with former names that still work."""
+"""Command groups that import their commands on first use, and that accept former names of commands."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class FormerNameGroup(click.Group):
-    """A group whose commands may have former names, which do the same and are shown in no help."""
+    """A group that accepts former names of its commands; the help does not list them."""
 
     def __init__(self, *args: Any, former_names: Mapping[str, str] | None = None, **kwargs: Any) -> None:
-        """`former_names` maps each former name to the present one."""
+        """`former_names` maps each former name to the current one."""
         super().__init__(*args, **kwargs)
         self._former_names = dict(former_names or {})
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """As click's own, after a former name has been replaced by the present one."""
+        """Replace a former name with the current one, then resolve the command as click does."""
         name, *rest = args
         return super().resolve_command(ctx, [self._former_names.get(name, name), *rest])
 
 
 @dataclass(frozen=True, slots=True)
 class LazyCommand:
-    """Where a command is defined, and what the help says of it without importing it."""
+    """Where a command is defined, and its line in the help of the group."""
 
     module: str
     attribute: str
@@ -36,25 +36,25 @@
 
 
 class LazyGroup(FormerNameGroup):
-    """A group whose commands are imported when one of them is called, so that a missing optional dependency
-    costs only the commands that need it."""
+    """A group that imports a command when it is called, so that a missing optional dependency disables only
+    the commands that need it."""
 
     def __init__(self, *args: Any, lazy_commands: Mapping[str, LazyCommand], **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         self._lazy_commands = dict(lazy_commands)
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands, in the order of the help."""
+        """Return the names of all commands in the order in which the help lists them."""
         return sorted({*super().list_commands(ctx), *self._lazy_commands})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a command. ClickException if a package it needs is not installed."""
+        """Import a command. Raises ClickException if a package that it needs is not installed."""
         if cmd_name in self._lazy_commands and cmd_name not in self.commands:
             self.add_command(_load(cmd_name, self._lazy_commands[cmd_name]), cmd_name)
         return super().get_command(ctx, cmd_name)
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the list of commands, importing none of them."""
+        """Write the list of commands without importing any of them."""
         rows = [(name, self._lazy_commands[name].short_help) for name in self.list_commands(ctx)]
         with formatter.section("Commands"):
             formatter.write_dl(rows)
--- a/lupinladder/cli/emulator/__init__.py
+++ b/lupinladder/cli/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""`lupinladder demo` and `lupinladder emulator ...`: one module for each kind of command."""
+"""The commands `lupinladder demo` and `lupinladder emulator ...`, in one module for each kind of command."""
 
 from lupinladder.cli.emulator import compare, restart_recovery, scenarios, soak, standalone
 from lupinladder.cli.emulator.group import emulator
--- a/lupinladder/cli/emulator/compare.py
+++ b/lupinladder/cli/emulator/compare.py
@@ -1,4 +1,4 @@
-"""Comparing reports: `lupinladder emulator compare`."""
+"""The command `lupinladder emulator compare`, which compares reports."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 @click.option("--format", "output_format", type=click.Choice(["table", "json"]), default="table")
 @example("lupinladder emulator compare old.json new.json")
 def compare(before: Path, after: Path, output_format: str) -> None:
-    """What changed between reports, with the spread over repeats.
+    """Show the differences between two reports, with the variation between repeated runs.
 
-    BEFORE and AFTER are reports, or stand for their repeats (new.json for new-1.json, new-2.json ...).
+    BEFORE and AFTER are report files. If new.json does not exist, the numbered reports of repeated runs are
+    read in its place: new-1.json, new-2.json and so on.
     """
     comparisons = report_comparison.compare(_read_reports(before), _read_reports(after))
     if output_format == "json":
@@ -34,12 +35,12 @@
 
 
 def _read_reports(path: Path) -> list[dict[str, Any]]:
-    """The report at a path or, if there is none, its numbered repeats."""
+    """Read the report at a path or, if there is none, the numbered reports of its repeated runs."""
     if path.exists():
         return [_read_report(path)]
     numbered = sorted(path.parent.glob(f"{path.stem}-[0-9]*{path.suffix}"))
     if not numbered:
-        message = f"{path}: no such report, and none numbered {path.stem}-1{path.suffix}"
+        message = f"{path}: no such report, and no numbered report such as {path.stem}-1{path.suffix}"
         raise InputError(message)
     return [_read_report(one) for one in numbered]
 
--- a/lupinladder/cli/emulator/console.py
+++ b/lupinladder/cli/emulator/console.py
@@ -1,10 +1,10 @@
-"""Consoles that the commands write to."""
+"""The consoles for the output and the errors of commands."""
 
 from __future__ import annotations
 
 from rich.console import Console
 
-FILE_WIDTH = 120  # characters, in a file or a pipe, so that no column is folded
+FILE_WIDTH = 120  # characters, when the output is a file or a pipe; wide enough that no column wraps
 
 
 def _output_console() -> Console:
--- a/lupinladder/cli/emulator/group.py
+++ b/lupinladder/cli/emulator/group.py
@@ -1,4 +1,4 @@
-"""The group of commands `lupinladder emulator ...`."""
+"""The command group `lupinladder emulator`."""
 
 from __future__ import annotations
 
@@ -13,4 +13,4 @@
 @click.group(cls=FormerNameGroup, former_names=FORMER_NAMES)
 @example("lupinladder emulator run deploy --report deploy.json")
 def emulator() -> None:
-    """Emulated servers, scenarios, load and reports."""
+    """Run emulated servers and scenarios, and compare reports."""
--- a/lupinladder/cli/emulator/live_view.py
+++ b/lupinladder/cli/emulator/live_view.py
@@ -1,4 +1,4 @@
-"""The live view of a run."""
+"""The live view of a run in the terminal."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from lupinladder.emulator.scenario import Scenario
 
 REFRESHES_PER_S = 4
-RECENT_S = 2  # over which the share in time is shown
+RECENT_S = 2  # period over which the share of requests served in time is computed
 MAX_RECENT_RESULTS = 2000
 MAX_NODES = 24
 MAX_MARKS = 4
-MAX_BAR_LENGTH = 40  # characters, one for each request that a node holds
+MAX_BAR_LENGTH = 40  # characters, one for each request queued or processed at a node
 
 
 class LiveView:
-    """A progress bar, the share in time, what the nodes hold, and what has just happened."""
+    """Shows progress, the share of requests served in time, the load of each node and the latest faults."""
 
     def __init__(self, played: Scenario, quiet: bool) -> None:
-        """With `quiet`, or without a terminal, only the proxies' addresses are told."""
+        """With `quiet`, or without a terminal, only the addresses of the proxies are printed."""
         self._scenario = played
         self._quiet = quiet or not errors.is_terminal
         self._progress = Progress(
@@ -50,11 +50,11 @@
             self._live.stop()
 
     def update(self, at: float, run: Run) -> None:
-        """Show the run as it is at this second of the counted part."""
+        """Show the state of the run, `at` seconds after the start of its measured part."""
         if not self._addresses_shown:
             self._addresses_shown = True
             addresses = ", ".join(proxy.address for proxy in run.proxies.all)
-            errors.print(f"proxies listen at {addresses}; any RESP client may talk to them while this runs")
+            errors.print(f"proxies listen at {addresses}; any RESP client can connect to them during the run")
         self._progress.update(self._task, completed=max(0.0, min(at, self._scenario.seconds)))
         if self._quiet:
             return
@@ -65,8 +65,8 @@
 
     def _state_table(self, at: float, run: Run) -> Table:
         table = Table.grid(padding=(0, 2))
-        table.add_row("in time lately", self._recent_share(at, run), "open", str(run.clients.open_requests))
-        table.add_row("origin holds", str(run.cluster.origin.core.queue.held), "", "")
+        table.add_row("recently in time", self._recent_share(at, run), "open", str(run.clients.open_requests))
+        table.add_row("requests at the origin", str(run.cluster.origin.core.queue.held), "", "")
         for row in islice(_node_rows(run), MAX_NODES):
             table.add_row(*row)
         for when, what in run.faults.marks[-MAX_MARKS:]:
--- a/lupinladder/cli/emulator/options.py
+++ b/lupinladder/cli/emulator/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Options shared by several commands."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 _PATH = click.Path(path_type=Path)
 
-seed_option = click.option("--seed", type=click.IntRange(0), help="Draw everything from this seed.")
-seconds_option = click.option("--seconds", type=click.FloatRange(2, 3600), help="Play it in so many seconds.")
+seed_option = click.option("--seed", type=click.IntRange(0), help="Seed for all random choices.")
+seconds_option = click.option("--seconds", type=click.FloatRange(2, 3600), help="Scale to this duration.")
 
 
 @dataclass(frozen=True, slots=True)
 class OutputOptions:
-    """What a command shows and writes beside its table."""
+    """What a command outputs in addition to its table."""
 
     report_path: Path | None
     plot_path: Path | None
-    logs: Path | None  # a folder for configurations and logs of the proxies
+    logs: Path | None  # folder for the configurations and logs of the proxies
     quiet: bool
 
     def for_run(self, number: int) -> OutputOptions:
-        """The same for one of several runs, with names of its own; `number` counts from 1."""
+        """Return the options for one of several runs, with file names of its own; `number` starts at 1."""
         return replace(
             self,
             report_path=_numbered(self.report_path, number),
@@ -36,11 +36,11 @@
         )
 
     def logs_of(self, number: int) -> Path | None:
-        """The folder for the logs of one of several runs."""
+        """Return the log folder of one of several runs."""
         return self.logs / str(number) if self.logs else None
 
     def write_report(self, tree: dict[str, Any]) -> None:
-        """Write the report, if one is wanted."""
+        """Write the report if `--report` was given."""
         if self.report_path:
             self.report_path.write_text(json.dumps(tree, indent=1) + "\n")
 
@@ -50,12 +50,12 @@
 
 
 def output_options(command: Callable[..., None]) -> Callable[..., None]:
-    """A decorator that adds the options and passes them as `output`, an OutputOptions."""
+    """Add the output options to a command, which receives them as `output`, an OutputOptions."""
 
-    @click.option("--report", "report_path", type=_PATH, help="Write the figures as JSON.")
-    @click.option("--plot", "plot_path", type=_PATH, help="Write a picture (.png, .svg, .pdf).")
-    @click.option("--logs", type=_PATH, help="Keep configurations and logs here.")
-    @click.option("--quiet", is_flag=True, help="No live view.")
+    @click.option("--report", "report_path", type=_PATH, help="Write the report to this file as JSON.")
+    @click.option("--plot", "plot_path", type=_PATH, help="Write a plot to this file (.png, .svg or .pdf).")
+    @click.option("--logs", type=_PATH, help="Keep configurations and logs of the proxies in this folder.")
+    @click.option("--quiet", is_flag=True, help="Do not show the live view.")
     @functools.wraps(command)
     def with_output(
         report_path: Path | None, plot_path: Path | None, logs: Path | None, quiet: bool, **others: Any
--- a/lupinladder/cli/emulator/play.py
+++ b/lupinladder/cli/emulator/play.py
@@ -1,4 +1,4 @@
-"""Playing scenarios: `lupinladder demo` and `lupinladder emulator run`."""
+"""The commands `lupinladder demo` and `lupinladder emulator run`, which run scenarios."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 def play(scenario: Scenario, quiet: bool, logs: Path | None) -> RunResult:
-    """Play a scenario with a live view. ClickException if it could not be played to its end."""
+    """Run a scenario with a live view. Raises ClickException if it could not run to its end."""
     with LiveView(scenario, quiet) as view:
         try:
             return run.play(scenario, logs, view.update)
-        except (LupinladderError, RuntimeError) as error:  # RuntimeError: no free port was found
+        except (LupinladderError, RuntimeError) as error:  # RuntimeError: no free port
             raise click.ClickException(str(error)) from None
 
 
@@ -33,7 +33,7 @@
     tree = report.figures(play(scenario, output.quiet, output.logs))
     output.write_report(tree)
     if output.plot_path:
-        from lupinladder.emulator.plot import draw  # matplotlib takes long to import
+        from lupinladder.emulator.plot import draw  # imported here because matplotlib is slow to import
 
         draw(tree, output.plot_path)
     console.print(report_table.show(tree))
@@ -48,9 +48,10 @@
 def demo(seconds: float | None, seed: int | None, output: OutputOptions) -> None:
     """Emulate a cluster on loopback under load and faults, and check the rules.
 
-    Discovery, an origin, twelve nodes in three zones, three proxies and clients run on free ports of
-    loopback; one key turns hot and half of the nodes are replaced. Exit code 0 only if all four rules were
-    kept, 1 if one was broken, 3 if the machine was too slow for the emulator itself.
+    Discovery, an origin, twelve nodes in three zones, three proxies and their clients run on free ports of
+    the loopback interface. During the run one key becomes hot and half of the nodes are replaced. The exit
+    code is 0 if all four rules were kept, 1 if one was broken, and 3 if the machine was too slow for the
+    emulator itself.
     """
     sys.exit(_play_and_report(read_scenario("demo", seed, seconds), output))
 
@@ -60,9 +61,14 @@
 @seconds_option
 @seed_option
 @output_options
-@click.option("--rate", type=click.FloatRange(0.1, 50_000), help="A constant rate in place of the load.")
 @click.option(
-    "--repeat", type=click.IntRange(1, 100), default=1, help="Play each so often, with seeds in a row."
+    "--rate", type=click.FloatRange(0.1, 50_000), help="Replace the load by this constant rate (requests/s)."
+)
+@click.option(
+    "--repeat",
+    type=click.IntRange(1, 100),
+    default=1,
+    help="Run each scenario this many times, with consecutive seeds.",
 )
 @example("lupinladder emulator run deploy --repeat 3 --report new.json")
 def run_scenarios(
@@ -73,9 +79,9 @@
     rate: float | None,
     repeat: int,
 ) -> None:
-    """Play scenarios: files, or names of those that ship.
+    """Run scenarios, given as files or as names of the scenarios that ship with the program.
 
-    With more than one run, the reports' names get -1, -2 and so on before their endings.
+    If there are several runs, -1, -2 and so on is inserted before the ending of each file that is written.
     """
     played = [scenario for name in scenarios for scenario in _repeats(name, seed, seconds, repeat)]
     worst = report.ExitCode.RULES_KEPT
@@ -88,7 +94,7 @@
 
 
 def _repeats(name: str, seed: int | None, seconds: float | None, count: int) -> Iterator[Scenario]:
-    """The scenario so often, with seeds in a row."""
+    """Yield the scenario `count` times, with consecutive seeds."""
     for offset in range(count):
         scenario = read_scenario(name, seed, seconds)
         scenario.seed += offset
--- a/lupinladder/cli/emulator/restart_recovery.py
+++ b/lupinladder/cli/emulator/restart_recovery.py
@@ -1,4 +1,4 @@
-"""Killing most proxies at once: `lupinladder emulator restart-recovery`."""
+"""The command `lupinladder emulator restart-recovery`, which kills most proxies at once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,13 @@
 
 @emulator.command("restart-recovery")
 @click.option("--proxies", type=click.IntRange(2, 16), default=12, show_default=True)
-@click.option("--kill", type=click.FloatRange(0.01, 1), default=0.67, show_default=True, help="Share killed.")
+@click.option(
+    "--kill",
+    type=click.FloatRange(0.01, 1),
+    default=0.67,
+    show_default=True,
+    help="Share of the proxies to kill.",
+)
 @click.option(
     "--store", type=click.Choice(get_args(restart_recovery.StoreCondition)), default="kept", show_default=True
 )
@@ -28,7 +34,7 @@
     default="up",
     show_default=True,
 )
-@click.option("--seeds", default="1", show_default=True, help="One seed, or the first and the last: 1-10.")
+@click.option("--seeds", default="1", show_default=True, help="A seed, or a range of seeds such as 1-10.")
 @output_options
 @example(
     "lupinladder emulator restart-recovery --store lost --discovery down --seeds 1-10 --report lost.json"
@@ -41,9 +47,9 @@
     seeds: str,
     output: OutputOptions,
 ) -> None:
-    """Kill most proxies at once, start them together, and say how long until all is as before.
+    """Kill most proxies at once, restart them together, and measure the time until full service.
 
-    Exit codes are those of `emulator run`.
+    The exit codes are those of `emulator run`.
     """
     rows = []
     for seed in parse_seeds(seeds):
@@ -55,7 +61,7 @@
     tree = restart_recovery.full_report(scenario.about, rows)
     output.write_report(tree)
     if output.plot_path:
-        from lupinladder.emulator.plot import draw_restart_recovery  # matplotlib takes long to import
+        from lupinladder.emulator.plot import draw_restart_recovery  # matplotlib is slow to import
 
         draw_restart_recovery(tree, restart_recovery.KILLED_S, output.plot_path)
     console.print(restart_recovery_table.show(tree))
@@ -63,17 +69,17 @@
 
 
 def parse_seeds(text: str) -> range:
-    """The seeds of `3` or `1-10`. InputError for anything else."""
+    """Parse a seed such as `3` or a range such as `1-10`. Raises InputError for any other text."""
     first, _, last = text.partition("-")
     last = last or first
     if not first.isdigit() or not last.isdigit() or int(last) < int(first):
-        message = f"--seeds {text}: expected a seed, or the first and the last, as in 1-10"
+        message = f"--seeds {text}: expected a seed such as 3 or a range of seeds such as 1-10"
         raise InputError(message)
     return range(int(first), int(last) + 1)
 
 
 def _row_text(row: dict[str, Any]) -> str:
     full_after = row["full_after_s"]
-    when = "not within the run" if full_after is None else f"after {full_after:.1f} s"
+    when = "not restored within the run" if full_after is None else f"restored after {full_after:.1f} s"
     void = f"; void: {row['void']}" if row["void"] else ""
     return f"seed {row['seed']}: full service {when}{void}"
--- a/lupinladder/cli/emulator/scenarios.py
+++ b/lupinladder/cli/emulator/scenarios.py
@@ -1,4 +1,4 @@
-"""Reading scenarios: `lupinladder emulator list` and `check`."""
+"""Reading scenarios, and the commands `lupinladder emulator list` and `check`."""
 
 from __future__ import annotations
 
@@ -14,11 +14,14 @@
 from lupinladder.operator_config.toml_decoder import TomlError
 
 UNSCALED_FAULTS = ("kill", "term", "rolling-restart", "silent")
-"""Faults whose duration is that of a process, which does not go faster in a shorter run."""
+"""Faults that last as long as a process takes to stop or start; their duration is not scaled."""
 
 
 def read_scenario(name: str, seed: int | None = None, seconds: float | None = None) -> Scenario:
-    """A scenario with what the command line sets otherwise. InputError if it cannot be used."""
+    """Read a scenario and apply the seed and the duration given on the command line.
+
+    Raises InputError if the scenario is invalid.
+    """
     try:
         found = scenario.read(name)
     except TomlError as error:
@@ -31,8 +34,8 @@
 
 
 def _scale(played: Scenario, seconds: float) -> None:
-    """Play it in so many seconds: load and faults keep their places in it. Drains last as long as before,
-    since the delay of the list does too."""
+    """Scale a scenario to this duration; load and faults keep their relative times. Drains are not scaled,
+    because the delay of the endpoint list is not scaled either."""
     factor = seconds / played.seconds
     played.seconds = seconds
     for phase in played.load:
@@ -49,7 +52,7 @@
 @emulator.command("list")
 @example("lupinladder emulator list")
 def list_scenarios() -> None:
-    """The scenarios that come with the program."""
+    """List the scenarios that ship with the program."""
     table = Table()
     for name in ("name", "seconds", "about"):
         table.add_column(name)
@@ -63,7 +66,7 @@
 @click.argument("name", metavar="SCENARIO")
 @example("lupinladder emulator check mine.toml")
 def check(name: str) -> None:
-    """Read a scenario and say what is wrong with it."""
+    """Check a scenario and report the first error in it."""
     found = read_scenario(name)
-    counts = f"{len(found.faults)} faults, {len(found.load)} steps of load"
-    click.echo(f"{name}: {found.seconds:g} s, {counts}: good")
+    counts = f"{len(found.faults)} faults, {len(found.load)} load phases"
+    click.echo(f"{name}: {found.seconds:g} s, {counts}: valid")
--- a/lupinladder/cli/emulator/soak.py
+++ b/lupinladder/cli/emulator/soak.py
@@ -1,4 +1,4 @@
-"""The soak: `lupinladder emulator soak`."""
+"""The command `lupinladder emulator soak`, which runs random overlapping faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from lupinladder.emulator.proxy_alarms import read_alarms
 from lupinladder.emulator.scenario import Scenario
 
-MAX_SHOWN = 6  # violations and alarms of one seed
+MAX_SHOWN = 6  # violations and alarms printed for each seed
 
 
 @emulator.command("soak")
@@ -27,14 +27,14 @@
 @click.option(
     "--seconds", type=click.FloatRange(8, 600), default=soak_plan.DEFAULT_SECONDS, show_default=True
 )
-@click.option("--seeds", default="1", show_default=True, help="One seed, or the first and the last: 1-10.")
+@click.option("--seeds", default="1", show_default=True, help="A seed, or a range of seeds such as 1-10.")
 @output_options
 @example("lupinladder emulator soak --seeds 1-20 --report soak.json")
 def soak(proxies: int, seconds: float, seeds: str, output: OutputOptions) -> None:
-    """Overlap two to four troubles at a time on a few dozen proxies, and check the rules.
+    """Inject two to four overlapping faults at a time into a few dozen proxies, and check the rules.
 
-    Judged by the rule checker on all sockets and by the invariants that the proxies check themselves. Exit
-    codes are those of `emulator run`.
+    The rule checker observes all sockets, and the proxies check their own invariants. The exit codes are
+    those of `emulator run`.
     """
     rows = []
     for seed in parse_seeds(seeds):
@@ -75,4 +75,4 @@
         console.print(f"  {line[:600]}", markup=False)
     hidden = len(row["broken"]) + len(row["alarms"]) - MAX_SHOWN
     if hidden > 0:
-        console.print(f"  and {hidden} more")
+        console.print(f"  {hidden} more are not shown")
--- a/lupinladder/cli/emulator/standalone.py
+++ b/lupinladder/cli/emulator/standalone.py
@@ -1,4 +1,4 @@
-"""One emulated server by itself: `lupinladder emulator node`, `origin` and `discovery`."""
+"""The commands `lupinladder emulator node`, `origin` and `discovery`, which run one emulated server each."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from lupinladder.emulator.standalone import ServerType, run_standalone
 
 DESCRIPTIONS = {
-    ServerType.NODE: "One cache node alone, for any RESP client to talk to.",
-    ServerType.ORIGIN: "The origin alone, for any HTTP client to talk to.",
-    ServerType.DISCOVERY: "Discovery alone, with the list of the scenario's cluster.",
+    ServerType.NODE: "Run a single cache node, which any RESP client can connect to.",
+    ServerType.ORIGIN: "Run the origin alone; any HTTP client can connect to it.",
+    ServerType.DISCOVERY: "Run discovery alone, with the endpoint list of the scenario's cluster.",
 }
 
 
@@ -23,7 +23,11 @@
     serve.__doc__ = DESCRIPTIONS[server]
     serve = example(f"lupinladder emulator {server} --seconds 60")(serve)
     scenario_option = click.option(
-        "--scenario", "scenario_name", default="calm", show_default=True, help="Whose settings to take."
+        "--scenario",
+        "scenario_name",
+        default="calm",
+        show_default=True,
+        help="Scenario that provides the settings.",
     )
     seconds_option = click.option(
         "--seconds", type=click.FloatRange(0.1, 86_400), default=60.0, show_default=True
--- a/lupinladder/cli/errors.py
+++ b/lupinladder/cli/errors.py
@@ -6,6 +6,6 @@
 
 
 class InputError(click.ClickException):
-    """Input that cannot be used; it is printed as one line, and the exit code is 2."""
+    """Invalid input. The message is printed as one line, and the exit code is 2."""
 
     exit_code = 2
--- a/lupinladder/cli/help_text.py
+++ b/lupinladder/cli/help_text.py
@@ -1,4 +1,4 @@
-"""Help texts of commands."""
+"""Formatting of the help texts of commands."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 Function = TypeVar("Function", bound=Callable[..., object])
 
-KEEP_LINE_BREAKS = "\b"  # click wraps a paragraph of help unless this line stands before it
+KEEP_LINE_BREAKS = "\b"  # click does not rewrap a paragraph of help that follows a line with this character
 
 
 def example(command_line: str) -> Callable[[Function], Function]:
-    """A decorator that ends the help of a command with an example. It stands below click's decorators."""
+    """Append an example to the help of a command. This decorator must be below those of click."""
 
     def add_example(function: Function) -> Function:
         description = inspect.cleandoc(function.__doc__ or "")
--- a/lupinladder/cli/store.py
+++ b/lupinladder/cli/store.py
@@ -1,4 +1,4 @@
-"""`lupinladder store show|check|cut`: what a proxy's store holds, and how to repair it."""
+"""The commands `lupinladder store show`, `check` and `cut`, which inspect and repair the store of a proxy."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @click.group()
 def store() -> None:
-    """What a proxy keeps over a restart: look at it, check it, cut off what is damaged.
+    """Show, check or repair the store, which keeps a proxy's state across restarts.
 
     \b
     Example:
@@ -34,9 +34,9 @@
 
 @store.command()
 @click.argument("path", type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON for use by programs.")
 def show(path: Path, as_json: bool) -> None:
-    """What is kept, how old it is, and what a proxy that starts now would use it for.
+    """Show the stored records, their age, and how far a proxy that starts now would use them.
 
     \b
     Example:
@@ -45,7 +45,7 @@
     scan = _scan(path)
     state = records.fold(scan)
     if state is None:
-        message = f"{path}: {scan.damage or 'its owner cannot be read'}"
+        message = f"{path}: {scan.damage or 'its first record does not name the owner'}"
         raise InputError(message)
     tree = _describe(state, time.time() * 1000)
     if as_json:
@@ -55,14 +55,14 @@
         f"{path}: proxy {state.owner.proxy}, deployment {state.owner.deployment}, {scan.valid_bytes} bytes"
     )
     if scan.damage:
-        click.echo(f"damaged: {scan.damage}; `lupinladder store cut` leaves the good part")
+        click.echo(f"damaged: {scan.damage}; `lupinladder store cut` keeps the valid part")
     _print_description(tree)
 
 
 @store.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def check(path: Path) -> None:
-    """Whether every record is whole: exit 0, or 1 with what is wrong and where.
+    """Check that every record is valid. The exit code is 0, or 1 if there is damage, which is then described.
 
     \b
     Example:
@@ -72,18 +72,18 @@
     size = path.stat().st_size
     if scan.damage:
         place = f"at byte {scan.valid_bytes} of {size}"
-        click.echo(f"{path}: {place}: {scan.damage}; {len(scan.records)} records are good")
+        click.echo(f"{path}: {place}: {scan.damage}; {len(scan.records)} records are valid")
         raise SystemExit(EXIT_DAMAGED)
     if records.fold(scan) is None:
-        click.echo(f"{path}: its first record does not say whose it is; a proxy starts without it")
+        click.echo(f"{path}: its first record does not name the owner; a proxy would ignore this store")
         raise SystemExit(EXIT_DAMAGED)
-    click.echo(f"{path}: {len(scan.records)} records, {size} bytes, all whole")
+    click.echo(f"{path}: {len(scan.records)} records, {size} bytes, all valid")
 
 
 @store.command()
 @click.argument("path", type=click.Path(path_type=Path))
 def cut(path: Path) -> None:
-    """Cut off what stands behind the last good record. The proxy must not run: its store is locked.
+    """Remove the data after the last valid record. The proxy must not be running, because it locks its store.
 
     \b
     Example:
@@ -92,12 +92,12 @@
     with _locked(path):
         scan = _scan(path)
         if not scan.records:
-            message = f"{path}: {scan.damage}; nothing in it can be used, remove it"
+            message = f"{path}: {scan.damage}; no record is valid, so remove the file"
             raise InputError(message)
         damaged_bytes = path.stat().st_size - scan.valid_bytes
         if damaged_bytes:
             os.truncate(path, scan.valid_bytes)
-        click.echo(f"{path}: {damaged_bytes} bytes cut off, {len(scan.records)} records kept")
+        click.echo(f"{path}: {damaged_bytes} bytes removed, {len(scan.records)} records kept")
 
 
 def _scan(path: Path) -> record_log.ScanResult:
@@ -109,12 +109,12 @@
 
 @contextmanager
 def _locked(path: Path) -> Iterator[None]:
-    """Hold the store's lock. InputError if a proxy has it."""
+    """Hold the lock of the store. Raises InputError if a proxy holds it."""
     file_system = FileSystem()
     try:
         lock = file_system.lock(path.with_name(path.name + ".lock"))
     except BlockingIOError:
-        message = f"{path}: a process uses this store; stop it first"
+        message = f"{path}: a process uses this store; stop the process first"
         raise InputError(message) from None
     except OSError as error:
         message = f"{path}: {error.strerror}"
@@ -126,7 +126,7 @@
 
 
 def _describe(state: StoredState, now: float) -> dict[str, Any]:
-    """What is kept, and what a proxy that starts now would use it for: the form of `show --json`."""
+    """Describe the records and their usability for a proxy that starts now, as `show --json` prints them."""
     tree: dict[str, Any] = {"owner": msgspec.to_builtins(state.owner)}
     if state.endpoint_list:
         tree["list"] = _describe_list(state.endpoint_list, now)
@@ -165,7 +165,7 @@
 
 
 def _print_description(tree: dict[str, Any]) -> None:
-    """Print what `_describe` returned, a line for each record."""
+    """Print the result of `_describe`, one line for each record."""
     if "list" in tree:
         stored = tree["list"]
         count = f"{stored['servers']} servers"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Tests that are known to be red: KNOWN-RED.txt at the root, `test | cause | issue` a line, three at most.
+"""Tests that are known to fail, listed in KNOWN-RED.txt at the root as lines of `test | cause | issue`.
 
-They run and are printed, and their failing passes; one that passes, a line that names no test and a fourth
-line fail the whole run. A test that fails in its subtests alone counts as one that passes: split it first.
+The listed tests run, are expected to fail and are printed at the end. The whole run fails if a listed test
+passes, if a line names no test, or if there are more than three lines. A test of which only subtests fail
+counts as passed; split such a test before listing it.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 def known(path: Path) -> dict[str, str]:
-    """The tests named, each with its cause and issue."""
+    """Return the listed tests, each with its cause and issue."""
     lines = [line.split("|") for line in path.read_text().splitlines() if line.strip()]
     if any(len(line) != 3 or not all(part.strip() for part in line) for line in lines):
         message = f"{path.name}: a line is not `test | cause | issue`"
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A small stand-in for a proxy: carries actions out, and checks the four rules on what it sees."""
+"""A test harness for the balancer, which executes its actions and checks the four rules on them."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 @dataclass
 class Seen:
-    """A request as the proxy sees it."""
+    """A request and its attempts, as recorded by the harness."""
 
     request: RequestReceived
     deadline: float
@@ -76,7 +76,7 @@
 
 
 class Proxy:
-    """Feeds events to a balancer and asserts the rules on each action."""
+    """A fake proxy that feeds events to a balancer and asserts the rules on each action."""
 
     def __init__(self, balancer: Balancer, config: Settings, now: float = 0.0) -> None:
         self.balancer = balancer
@@ -127,28 +127,28 @@
 
     def check_try(self, one: Seen, server: bytes) -> None:
         kind = self.config.classes[one.request.request_class]
-        assert not one.answered, "a send after the final answer"
-        assert self.now < one.deadline, "a send after the deadline"
+        assert not one.answered, "a request was sent after its final answer"
+        assert self.now < one.deadline, "a request was sent after its deadline"
         assert len(one.tries) < self.config.max_attempts, "more attempts than allowed"
-        assert self.entry[server].state is EndpointState.READY, "a send to a server that drains or is gone"
+        assert self.entry[server].state is EndpointState.READY, "the server of an attempt is not ready"
         if not self.config.may_duplicate:
-            assert None not in one.outcomes, "two attempts out at once"
+            assert None not in one.outcomes, "a request has two attempts in flight"
         ran = [t for t, o in zip(one.tries, one.outcomes, strict=True) if o not in NEVER_RAN]
         if ran and kind.retry_safety is RetrySafety.NON_IDEMPOTENT:
-            text = "an unsafe request sent again that may have run"
+            text = "a non-idempotent request was retried although it may have run"
             raise AssertionError(text)
         if ran and kind.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
             assert self.now - ran[0][1] < kind.deduplication_window, (
-                "sent again after the servers have forgotten"
+                "a request was retried after the servers have forgotten its key"
             )
             for earlier, _ in ran:
                 a = self.entry[earlier]
                 b = self.entry[server]
                 assert kind.deduplication_scope is not DeduplicationScope.ZONE or a.zone == b.zone, (
-                    "sent outside its zone"
+                    "a request was retried outside its zone"
                 )
                 assert kind.deduplication_scope is not DeduplicationScope.CELL or a.cell == b.cell, (
-                    "sent outside its cell"
+                    "a request was retried outside its cell"
                 )
         one.tries.append((server, self.now))
         one.outcomes.append(None)
@@ -156,8 +156,8 @@
 
     def check_answer(self, one: Seen, rejected: bool) -> None:
         kind = self.config.classes[one.request.request_class]
-        assert not one.answered, "answered twice"
-        assert self.now <= one.deadline + 20, "answered too late"
+        assert not one.answered, "a request was answered twice"
+        assert self.now <= one.deadline + 20, "a request was answered too late"
         if (
             rejected
             and kind.retry_safety is not RetrySafety.IDEMPOTENT
@@ -167,18 +167,18 @@
                 kind.retry_safety is RetrySafety.IDEMPOTENCY_KEY
                 and kind.deduplication_scope is DeduplicationScope.ALL
             )
-            assert shared, "a rejection promised what may not hold"
+            assert shared, "a rejection says that the request did not run, which may not hold"
         one.answered = True
 
     def end(self, request: int, attempt: int, outcome: Outcome, latency: float | None = None) -> None:
-        """End an attempt, at the present time."""
+        """End an attempt at the current time."""
         one = self.seen[request]
         took = self.now - one.tries[attempt][1] if latency is None else latency
         over = one.answered or outcome is Outcome.OK
         self.feed(AttemptEnded(request, attempt, outcome, took, over))
 
     def advance(self, until: float) -> None:
-        """Let time pass: timers come due and attempts run out at their request's deadline."""
+        """Advance the time: timers fire, and attempts time out at the deadline of their request."""
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers if at <= until]
             for one in self.seen.values():
@@ -197,5 +197,5 @@
         self.now = max(self.now, until)
 
     def out(self) -> list[tuple[int, int]]:
-        """All attempts that are out."""
+        """Return (request id, attempt number) of all attempts in flight."""
         return [(i, n) for i, one in self.seen.items() for n, o in enumerate(one.outcomes) if o is None]
--- a/tests/support/discovery_scene.py
+++ b/tests/support/discovery_scene.py
@@ -1,4 +1,4 @@
-"""A registry of endpoints with its watch, on a discovery server that the test plays."""
+"""A test case with an endpoint registry and a fake discovery server that the test controls."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 def chunks(*lines: bytes) -> bytes:
-    """These lines as chunks of a response, one each."""
+    """Encode each line as one chunk of a response."""
     return b"".join(b"%x\r\n%b\n\r\n" % (len(line) + 1, line) for line in lines)
 
 
 def delta(version: int, **changes: object) -> bytes:
-    """A line that tells of a change: the one endpoint, with these fields changed."""
+    """Return a delta as one line of JSON: the endpoint `ENTRY` with these fields changed."""
     tree = {"index": version, "snapshot": False, "endpoints": [{**ENTRY, **changes}]}
     return json.dumps(tree).encode()
 
 
 class DiscoveryScene(NetworkScene):
-    """A registry, the updates of which it has notified, and discovery's listener."""
+    """A registry, the updates that it has reported, and the listener of discovery."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -43,28 +43,28 @@
         )
 
     def open_watch(self) -> RecordingPeer:
-        """Open a watch. Returns discovery's end of it, once the request has come."""
+        """Open a watch, wait for its request, and return discovery's end of the connection."""
         opened_before = len(self.discovery.peers)
         self.registry.open_watch()
         return self.at_node(opened_before, self.discovery)
 
     def follow(self, *lines: bytes, status: bytes = b"200 OK") -> RecordingPeer:
-        """Open a watch and answer it with these lines as chunks. Returns discovery's end of it."""
+        """Open a watch, answer with one chunk for each line, and return discovery's end of the connection."""
         peer = self.open_watch()
         peer.conn.send(STREAM_HEAD.replace(b"200 OK", status))
         peer.conn.send(chunks(*lines))
         return peer
 
     def watch(self) -> EndpointWatch:
-        """The watch that is open."""
+        """Return the open watch."""
         watch = self.registry._watch
         assert watch is not None
         return watch
 
     def update_kinds(self) -> list[str]:
-        """The kinds of the updates so far."""
+        """Return the kinds of all updates so far."""
         return [update.kind.name for update in self.updates]
 
     def update_versions(self) -> list[tuple[str, int]]:
-        """The kinds and versions of the updates so far."""
+        """Return the kinds and versions of all updates so far."""
         return [(update.kind.name, update.version) for update in self.updates]
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""An endpoint list as discovery writes it, and a configuration as the platform does."""
+"""An endpoint list in the format of discovery, and a proxy configuration in the format of the platform."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     "group": 3,
     "status": "active",
     "weight": 1.0,
-    "since_ms": 1796120872235,  # a time of day, as a server that started lately has
+    "since_ms": 1796120872235,  # Unix time in ms, as for a recently started server
 }
 
 PARSER = EndpointParser(["a", "b"], ["m2", "origin"])
 
 
 def listing(**changes: object) -> dict[str, object]:
-    """A whole list of one endpoint, with these fields changed."""
+    """Return a snapshot that holds only the endpoint `ENTRY`, with these fields changed."""
     return {"index": 4, "snapshot": True, "endpoints": [{**ENTRY, **changes}]}
 
 
 def configuration() -> dict[str, Any]:
-    """A proxy's configuration as the platform writes it."""
+    """Return a proxy configuration in the format of the platform."""
     settings = json.loads(json.dumps(SETTINGS))
     settings["ceilings"] |= {"conn-idle-ms": 9000.0, "connect-timeout-ms": 120.0, "max-open": 20000}
     settings["classes"][0]["name"] = "read"
--- a/tests/support/idle_periods.py
+++ b/tests/support/idle_periods.py
@@ -1,4 +1,4 @@
-"""Idle periods of clients for the tests of connection limits."""
+"""Idle clients and idle periods for the tests of connection limits."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 def estimator_after(
     command_count: int, idle_periods: int, returning_share: float, returned_after: float
 ) -> IdleReturnEstimator:
-    """An estimator that has seen idle periods of which a share ended with a command, the others never."""
+    """Return an estimator with recorded idle periods: `returning_share` of them ended with a command, the
+    others have not ended."""
     estimator = IdleReturnEstimator()
     for number in range(idle_periods):
         if number < idle_periods * returning_share:
--- a/tests/support/large_lists.py
+++ b/tests/support/large_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of thousands of servers, and nodes that answer each read at once."""
+"""Endpoint lists of thousands of servers, and fake cache nodes that answer each read immediately."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tests.support.endpoint_lists import ENTRY
 from tests.support.network_scene import SERVED, RecordingListener, RecordingPeer
 
-LARGE_FLEET = 3200  # the most cache nodes that a deployment has ("More than these days")
+LARGE_FLEET = 3200  # maximum number of cache nodes in a deployment
 
 
 class ServingPeer(RecordingPeer):
-    """A cache node's end of a connection, which answers each read with a value."""
+    """A cache node's end of a connection. It answers each read with a value."""
 
     def on_data(self) -> None:
         data = self.conn.inbox.read(len(self.conn.inbox))
@@ -20,27 +20,27 @@
 
 
 class ServingListener(RecordingListener):
-    """Stands in for all cache nodes of a list: they have one address, and differ by name."""
+    """Acts as all cache nodes of a list; they share one address and differ in their names."""
 
     peer_type = ServingPeer
 
 
 def server_name(number: int) -> str:
-    """The name of the server of this number."""
+    """Return the name of server `number`."""
     return f"s-{number:08x}"
 
 
 def entry(number: int, port: int, **changes: object) -> dict[str, object]:
-    """An entry for the server of this number, at this port."""
+    """Return the entry of server `number` at this port."""
     address = f"127.0.0.1:{port}"
     return {**ENTRY, "type": "m2", "since_ms": 0, "name": server_name(number), "address": address, **changes}
 
 
 def entries(numbers: range, port: int, **changes: object) -> list[dict[str, object]]:
-    """An entry for each server of these numbers, at this port."""
+    """Return the entries of these servers, all at this port."""
     return [entry(number, port, **changes) for number in numbers]
 
 
 def list_text(version: int, endpoints: list[dict[str, object]], is_snapshot: bool = False) -> bytes:
-    """A list as discovery writes it on one line: what has changed, or all."""
+    """Return a delta or a snapshot as one line of JSON, in the format of discovery."""
     return json.dumps({"index": version, "snapshot": is_snapshot, "endpoints": endpoints}).encode()
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -1,4 +1,4 @@
-"""Real sockets for the tests of the network code: peers on the proxy's own loop, and a scripted balancer."""
+"""A test case with real sockets: recording peers on the event loop of the proxy, and a scripted balancer."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def get(ident: bytes = b"a", wait: int = 900) -> bytes:
-    """A read under this id, whose client waits so many ms."""
+    """Return a read with this request id and a client timeout of `wait` ms."""
     return GET % (ident, wait)
 
 
 class RecordingPeer:
-    """The other end of one connection; it keeps the bytes that came and how the connection ended."""
+    """The remote end of a connection. It records the bytes received and how the connection ended."""
 
     def __init__(self) -> None:
         self.got = b""
@@ -60,13 +60,13 @@
         self.ends.append(by_peer)
 
     def reset(self) -> None:
-        """Close with a reset, as when a process dies."""
+        """Close the connection with a TCP reset, as when the process is killed."""
         self.conn._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.conn.close()
 
 
 class RecordingListener:
-    """A listener on a port of its own, and a peer for each connection accepted."""
+    """A listener on a free port that creates a peer for each accepted connection."""
 
     peer_type: type[RecordingPeer] = RecordingPeer
 
@@ -89,7 +89,7 @@
 
 
 class ScriptedBalancer:
-    """Stands in for the Balancer: keeps the events and answers each by `react`."""
+    """A fake Balancer that records each event and returns the actions of `react` for it."""
 
     def __init__(self) -> None:
         self.events = list[Event]()
@@ -100,10 +100,10 @@
         return []
 
     def rebuild_all(self) -> None:
-        """Do nothing: it has no slots."""
+        """Do nothing, since there are no slots."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        assert not self._handling, "entered again from within"
+        assert not self._handling, "handle was called recursively"
         self._handling = True
         try:
             self.events.append(event)
@@ -112,7 +112,7 @@
             self._handling = False
 
     def ends(self) -> list[tuple[int, str, bool]]:
-        """(attempt, outcome, request_finished) of the attempts ended so far."""
+        """Return (attempt, outcome, request_finished) of each attempt ended so far."""
         return [
             (event.attempt, event.outcome.name, event.request_finished)
             for event in self.events
@@ -121,7 +121,7 @@
 
 
 def once_to(server: bytes = NODE, then: Action | None = None) -> Callable[[Any], list[Action]]:
-    """Send a request to the server; fail it, or do `then`, when that has ended without an answer."""
+    """Send each request once to `server`. Without an answer, return `then` or fail the request."""
 
     def react(event: Any) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -134,10 +134,10 @@
 
 
 class RecordingHandler:
-    """A response handler that keeps what it was told."""
+    """A response handler that records the answers."""
 
     def __init__(self) -> None:
-        self.told = list[object]()  # a value, the wait of a rejection, or "failed"
+        self.told = list[object]()  # a value, the retry_after of a rejection, or "failed"
         self.query: PendingRequest | None = None
 
     def on_served(self, value: bytes) -> None:
@@ -151,7 +151,7 @@
 
 
 class NetworkScene(TestCase):
-    """A listener, a dispatcher with a scripted balancer, one cache node and the origin, all on one loop."""
+    """A listener, a dispatcher with a scripted balancer, a cache node and an origin on one event loop."""
 
     IDLE_MS = 10_000.0
     CONNECT_TIMEOUT_MS = 120.0
@@ -195,7 +195,7 @@
             return RequestDispatcher(self.loop, settings, 1, self.links.get, lambda: None, self.MAX_OPEN)
 
     def link(self, address: Address, protocol: UpstreamProtocol) -> ConnectionPool:
-        """A pool of connections to this address."""
+        """Create a pool of connections to this address."""
         return ConnectionPool(
             self.loop,
             self.budget,
@@ -207,30 +207,30 @@
         )
 
     def until(self, done: Callable[[], object], what: str = "") -> None:
-        """Turn the loop until `done`; a test fails after 5 s."""
+        """Run the event loop until `done` returns true. The test fails after UNTIL_TIMEOUT_MS."""
         late = list[bool]()
         limit = self.loop.call_at(self.loop.now() + self.UNTIL_TIMEOUT_MS, lambda: late.append(True))
         while not done():
             self.loop.run_once()
-            self.assertFalse(late, f"never came: {what}")
+            self.assertFalse(late, f"timed out waiting for {what}")
         self.loop.cancel(limit)
 
     def client(self, data: bytes = b"") -> RecordingPeer:
-        """A client that has connected to the listener and sends this."""
+        """Connect a client to the listener and send `data`."""
         peer = RecordingPeer()
         peer.conn = Connection.connect(self.loop, DescriptorBudget(99), self.address, peer)
         peer.conn.send(data)
         return peer
 
     def stand_still(self, ms: float) -> None:
-        """Let so much time pass between two turns of the loop, as when the process has no processor."""
+        """Advance the clock by `ms` between two loop iterations, as when the process gets no CPU time."""
         monotonic = time.monotonic
         later = mock.patch("time.monotonic", lambda: monotonic() + ms / 1000)
         later.start()
         self.addCleanup(later.stop)
 
     def ask(self, wait: float = 900) -> RecordingHandler:
-        """A read given straight to the dispatcher, by a client that waits so many ms."""
+        """Pass a read directly to the dispatcher, with a client timeout of `wait` ms."""
         handler = RecordingHandler()
         command = parse_command([b"OBJ.GET", b"1f", b"a", b"c=read,d=%d" % wait], ["read"])
         handler.query = self.engine.dispatch(
@@ -239,12 +239,12 @@
         return handler
 
     def at_node(self, number: int = 0, listener: RecordingListener | None = None) -> RecordingPeer:
-        """The connection of this number at the node, or another listener, once a request has come on it."""
+        """Wait for a request on connection `number` of the node or of `listener`; return its remote end."""
         peers = (listener or self.node).peers
         self.until(lambda: len(peers) > number and peers[number].got, "a request")
         return peers[number]
 
     def answers(self, peer: RecordingPeer, data: bytes) -> None:
-        """Wait until this peer has so many bytes, which must be these."""
+        """Wait until this peer has received as many bytes as `data` has, and check that they are equal."""
         self.until(lambda: len(peer.got) >= len(data) or peer.ends, "an answer")
         self.assertEqual(peer.got, data)
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -1,4 +1,4 @@
-"""The program itself as a process, for tests that start, signal and talk to it."""
+"""A test case that runs the program as a process, and can send it signals and requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class EndedWithTest(subprocess.Popen[bytes]):
-    """A process that a failing test does not wait for."""
+    """A process that is killed when its test fails, so that the test does not wait for it."""
 
     def __exit__(self, exc_type: Any, exc_value: Any, exc_traceback: Any) -> None:
         if exc_type is not None:
@@ -31,7 +31,7 @@
 
 
 class ProxyProcess(NetworkScene):
-    """The program itself, as deploy/balancer.toml starts it, with its configuration in a file."""
+    """A test case that starts the program as deploy/balancer.toml does, with a configuration file."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -43,11 +43,11 @@
         process = EndedWithTest(
             [sys.executable, "-m", "lupinladder"], cwd=ROOT, env={**os.environ, **env}, stderr=stderr
         )
-        self.addCleanup(process.kill)  # which does nothing to one that has ended
+        self.addCleanup(process.kill)  # has no effect if the process has ended
         return process
 
     def configuration(self) -> dict[str, Any]:
-        """A configuration that names a free port to listen on and this scene's node as the one endpoint."""
+        """Return a configuration with a free port to listen on and this scene's node as the only endpoint."""
         conf = configuration()
         with socket.create_server(("127.0.0.1", 0)) as spare:
             conf["listen"] = f"127.0.0.1:{spare.getsockname()[1]}"
@@ -55,16 +55,16 @@
         return conf
 
     def until_logged(self, process: subprocess.Popen[bytes], event: str) -> bytes:
-        """The next line of this event on the process's log; a test fails if the log ends before."""
+        """Return the next log line of this event. The test fails if the log of the process ends first."""
         assert process.stderr
         for line in process.stderr:
             if line.startswith(b"lupinladder: %b " % event.encode()):
                 return line
-        message = f"no line of {event} before the end of the process"
+        message = f"the process ended without a log line of {event}"
         raise AssertionError(message)
 
     def start_listening(self, conf: dict[str, Any]) -> subprocess.Popen[bytes]:
-        """Start with this configuration, and return once the proxy listens. `client` then connects to it."""
+        """Start with this configuration and wait until the proxy listens; `client` then connects to it."""
         self.config_path.write_text(json.dumps(conf))
         process = self.start({"GW_CONFIG": str(self.config_path)})
         self.until_logged(process, "metrics")
--- a/tests/support/ring_buffers.py
+++ b/tests/support/ring_buffers.py
@@ -1,4 +1,4 @@
-"""Ring buffers with bytes in them."""
+"""Ring buffers with contents for tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def ring_of(data: bytes) -> RingBuffer:
-    """A ring buffer that holds these bytes."""
+    """Return a ring buffer that contains these bytes."""
     ring = RingBuffer(1 << 20)
     ring.append(data)
     return ring
--- a/tests/support/store_scene.py
+++ b/tests/support/store_scene.py
@@ -1,4 +1,4 @@
-"""A store in a folder of its own, records to fill it with, and a file system that fails."""
+"""A test case with a store in a temporary folder, sample records, and a file system that fails on demand."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class ProcessEnded(BaseException):
-    """The process ends here, at a step on the file system."""
+    """Simulates the end of the process during a file system operation."""
 
 
 class FaultyFileSystem(FileSystem):
-    """Takes `steps` steps; at each later one the process ends, or with `error_number` an OSError is raised.
-    Of a write that fails, `written_share` of the bytes reach the file."""
+    """Performs the first `steps` operations. Each later one raises ProcessEnded, or OSError if `error_number`
+    is set; a failing write still writes `written_share` of its bytes."""
 
     def __init__(self, steps: int = UNLIMITED, error_number: int = 0, written_share: float = 0.5) -> None:
         self.steps = steps
@@ -38,7 +38,7 @@
         self.written_share = written_share
 
     def _step(self) -> None:
-        """Count a step, and fail if none is left."""
+        """Count an operation, and raise the error if the allowed number is exceeded."""
         self.steps -= 1
         if self.steps >= 0:
             return
@@ -72,7 +72,7 @@
 
 
 def limit_record(n: int, version: int) -> LimitRecord:
-    """A limit all of whose figures are the version, so that a mix of versions shows."""
+    """Return a limit with `version` in every numeric field, so that a mix of versions is detected."""
     return LimitRecord(f"s-{n}", 1.0, float(version), version, float(version), float(version))
 
 
@@ -81,7 +81,7 @@
 
 
 def sample_records(version: int, servers: int = 6) -> list[StoredRecord]:
-    """A list, slots and limits, all of this version."""
+    """Return a list, slot loads and limits, all of this version."""
     return [
         EndpointListRecord(version, float(version), 0, endpoints(servers)),
         SlotLoadRecord(float(version), {n: float(version) for n in range(4)}),
@@ -90,7 +90,7 @@
 
 
 def versions(state: StoredState | None) -> list[float]:
-    """The versions of the list, of the slots and of each limit, in the order in which they are written."""
+    """Return the versions of the list, the slot loads and each limit, in the order of writing."""
     assert state
     of_list = [state.endpoint_list.at] if state.endpoint_list else []
     of_slots = list(set(state.slot_load.slot_load.values())) if state.slot_load else []
@@ -98,7 +98,7 @@
 
 
 class StoreTestCase(TestCase):
-    """A store's path in a folder of its own, and the events that were reported."""
+    """A test case with the path of a store in a temporary folder, and the events that the store reported."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the list of red tests may hold, each tried by a run of its own."""
+"""Checks of KNOWN-RED.txt, the list of tests that are known to fail; each case runs pytest in a process."""
 
 from __future__ import annotations
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""The program beside thousands of servers: requests are answered while the list changes."""
+"""The proxy with thousands of servers answers requests in time while the endpoint list changes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.support.network_scene import RecordingListener, RecordingPeer, get
 from tests.support.proxy_process import END_TIMEOUT_S, ProxyProcess
 
-WAIT_MS = 400  # of a client: five times the value of an answer that no list delays on a busy machine
+WAIT_MS = 400  # client timeout; five times the latency on a busy machine without list updates
 VERSIONS = 10
 REQUESTS = 40
 VALUE = b"$1\r\nV\r\n"
 
 
 class ChangesOfTheList(ProxyProcess):
-    """A proxy that knows the largest list, and discovery, which goes on to tell changes."""
+    """A proxy with a list of the maximum size, and a fake discovery that sends changes."""
 
     UNTIL_TIMEOUT_MS = 30_000.0
 
@@ -40,11 +40,11 @@
 
     @property
     def port(self) -> int:
-        """The port of all nodes."""
+        """The port that all nodes share."""
         return self.nodes.address[1]
 
     def assert_answered(self, number: int) -> None:
-        """Send a read; the test fails unless its value comes before its client gives up."""
+        """Send a read and check that the value arrives within the client timeout."""
         client: RecordingPeer = self.serving_client
         client.got = b""
         sent_at = self.loop.now()
@@ -91,7 +91,7 @@
         while not client.ends:
             client.got = b""
             client.conn.send(get(wait=WAIT_MS))
-            self.until(lambda: client.got or client.ends, "an answer, or the close that crossed the request")
+            self.until(lambda: client.got or client.ends, "an answer, or a close that crossed the request")
             if client.got:
                 self.assertIn(client.got.split()[0], (b"$1", b"-BUSY"), client.got)
         client.conn.close()
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""docs/operations.md names every log event and every counter, and no others."""
+"""Checks that docs/operations.md lists exactly the log events and the counters of the program."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def rows(section: str) -> set[str]:
-    """The names in the first column of the table under a heading."""
+    """Return the names in the first column of the table in this section."""
     page = (ROOT / "docs" / "operations.md").read_text()
     [table] = re.findall(rf"^## {section}\n(.*?)(?=^## |\Z)", page, re.M | re.S)
     first_columns = re.findall(r"^\| (`[^|]*) \|", table, re.M)
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Limits on the tree itself, and the README's example."""
+"""Checks of the source tree: decision modules, deployment lists, the README example and the built wheel."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def deployed(key: str) -> list[Path]:
-    """The files that deploy/balancer.toml lists under a key, folders with all their modules."""
+    """Return the files that deploy/balancer.toml lists under a key, with all modules of listed folders."""
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())[key]
     assert all((ROOT / name).exists() for name in listed)
     paths = [ROOT / name for name in listed]
     return [file for path in paths for file in (sorted(path.rglob("*.py")) if path.is_dir() else [path])]
 
 
-MAX_DECISION_MODULE_LINES = 210  # of one module: together they have no bound any more, each stays readable
+MAX_DECISION_MODULE_LINES = 210  # of each module, for readability; their total is not limited
 
 
 def test_the_modules_that_decide_stay_within_their_lines_and_columns() -> None:
@@ -31,7 +31,7 @@
 
 
 def test_the_modules_that_decide_have_no_clock_and_no_input() -> None:
-    """Nor has what they import: all of it is in this folder, and is held to the same."""
+    """The modules that they import are in the same folder, and the same check applies to them."""
     core = sorted((ROOT / "lupinladder" / "balancing").glob("*.py"))
     decides = deployed("policy")
     assert decides and set(decides) < set(core)
@@ -39,7 +39,7 @@
     reads_settings = ROOT / "lupinladder" / "balancing" / "settings_reader.py"
     for path in core:
         if path == reads_settings:
-            continue  # for the caller: text in, settings out; no module of the core imports it
+            continue  # parses text into settings for the caller; no other module here may import it
         text = path.read_text()
         imports = set(re.findall(r"^\s*(?:from|import) (\S+)", text, re.M))
         library = {"__future__", "bisect", "math"}
