--- a/benchmarks/endpoint_update_cost.py
+++ b/benchmarks/endpoint_update_cost.py
@@ -22,17 +22,17 @@
 from tests.support.endpoint_lists import ENTRY, PARSER, configuration
 
 DEFAULT_NODES = (200, 800, 3200)
-BALANCERS = 200
+BALANCER_COUNT = 200
 CALLS = 3
 
 
-def least_ms(call: Callable[[], object], calls: int = CALLS) -> float:
+def minimum_ms(call: Callable[[], object], calls: int = CALLS) -> float:
     """Return the minimum duration of several calls, in ms."""
     times = list[float]()
     for _ in range(calls):
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         call()
-        times.append(time.perf_counter() - begun)
+        times.append(time.perf_counter() - started_at)
     return min(times) * 1000
 
 
@@ -41,28 +41,30 @@
     return [Endpoint(f"s-{number:08x}".encode()) for number in range(first, first + count)]
 
 
-class ListedBalancer:
+class BenchmarkedBalancer:
     """A balancer with a list of `nodes` servers, and the operations to measure on it."""
 
     def __init__(self, nodes: int) -> None:
-        settings = Settings([RequestClass(500, 1500)], balancer_count=BALANCERS)
+        settings = Settings([RequestClass(500, 1500)], balancer_count=BALANCER_COUNT)
         self.balancer = Balancer(settings, 1, 0.0)
         self.balancer.start(0.0)
         self.nodes = nodes
         self.version = 1
-        self.first_list_ms = least_ms(lambda: self._tell(EndpointUpdateKind.FULL, endpoints(nodes)), calls=1)
+        self.first_list_ms = minimum_ms(
+            lambda: self._update_list(EndpointUpdateKind.FULL, endpoints(nodes)), calls=1
+        )
 
-    def _tell(self, kind: EndpointUpdateKind, changed: list[Endpoint]) -> None:
+    def _update_list(self, kind: EndpointUpdateKind, changed_endpoints: list[Endpoint]) -> None:
         self.version += 1
-        self.balancer.handle(EndpointUpdate(kind, self.version, changed), 1.0)
+        self.balancer.handle(EndpointUpdate(kind, self.version, changed_endpoints), 1.0)
 
     def add_server(self) -> None:
         """Handle a delta that adds one server."""
-        self._tell(EndpointUpdateKind.DELTA, endpoints(1, self.nodes + self.version))
+        self._update_list(EndpointUpdateKind.DELTA, endpoints(1, self.nodes + self.version))
 
     def repeat_list(self) -> None:
         """Handle a snapshot that is almost identical to the current list."""
-        self._tell(EndpointUpdateKind.FULL, endpoints(self.nodes))
+        self._update_list(EndpointUpdateKind.FULL, endpoints(self.nodes))
 
     def review(self) -> None:
         """Run the periodic review of the servers."""
@@ -70,7 +72,7 @@
         self.balancer.handle(TimerFired(0), 2.0)
 
 
-def whole_list(nodes: int) -> dict[str, object]:
+def endpoint_snapshot(nodes: int) -> dict[str, object]:
     """Return a snapshot of `nodes` cache nodes, as discovery sends it."""
     entries = [
         {**ENTRY, "name": f"s-{number:08x}", "address": f"127.0.{number >> 8}.{number & 255}:6379"}
@@ -81,21 +83,21 @@
 
 def measure(nodes: int) -> dict[str, float]:
     """Measure the time of each operation, in ms."""
-    listed = ListedBalancer(nodes)
-    tree = whole_list(nodes)
-    text = json.dumps(tree)
-    configured = json.dumps({**configuration(), "known": tree})
+    benchmarked = BenchmarkedBalancer(nodes)
+    snapshot = endpoint_snapshot(nodes)
+    snapshot_text = json.dumps(snapshot)
+    configuration_text = json.dumps({**configuration(), "known": snapshot})
     gc.collect()
     with mock.patch("builtins.print"):
         return {
-            "first list": listed.first_list_ms,
-            "one server added": least_ms(listed.add_server),
-            "same list": least_ms(listed.repeat_list),
-            "review": least_ms(listed.review),
-            "JSON": least_ms(lambda: json.loads(text)),
-            "entries": least_ms(lambda: PARSER.read(tree)),
-            "configuration": least_ms(lambda: config.parse(configured)),
-            "collection": least_ms(gc.collect),
+            "first list": benchmarked.first_list_ms,
+            "one server added": minimum_ms(benchmarked.add_server),
+            "same list": minimum_ms(benchmarked.repeat_list),
+            "review": minimum_ms(benchmarked.review),
+            "JSON": minimum_ms(lambda: json.loads(snapshot_text)),
+            "entries": minimum_ms(lambda: PARSER.read(snapshot)),
+            "configuration": minimum_ms(lambda: config.parse(configuration_text)),
+            "collection": minimum_ms(gc.collect),
         }
 
 
--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -18,7 +18,7 @@
 BALANCER_COUNTS = (3, 12, 40, 200)
 
 
-def slow(fleet: Fleet) -> dict[str, float]:
+def slow_server(fleet: Fleet) -> dict[str, float]:
     node = list(fleet.nodes.values())[5]
     node.speed = 0.05
     fleet.run(10_000, REQUESTS_PER_SECOND)
@@ -28,14 +28,14 @@
     }
 
 
-def vanished(fleet: Fleet) -> dict[str, float]:
+def unreachable_server(fleet: Fleet) -> dict[str, float]:
     node = list(fleet.nodes.values())[5]
-    node.reached = False
+    node.reachable = False
     fleet.run(10_000, REQUESTS_PER_SECOND)
     return {"connects a second to an unreachable server": sum(node.sent[s] for s in range(5, 10)) / 5}
 
 
-def warming_up(fleet: Fleet) -> dict[str, float]:
+def cold_server(fleet: Fleet) -> dict[str, float]:
     node = fleet.join()
     fleet.run(14_000, REQUESTS_PER_SECOND)
     origin = fleet.nodes[ORIGIN]
@@ -49,12 +49,12 @@
 def main() -> None:
     table: dict[str, list[str]] = {}
     for balancers in BALANCER_COUNTS:
-        for scene in (slow, vanished, warming_up):
+        for scenario in (slow_server, unreachable_server, cold_server):
             runs = list[dict[str, float]]()
             for seed in SEEDS:
                 fleet = Fleet(balancers, 12, seed)
                 fleet.run(4000, REQUESTS_PER_SECOND)
-                runs.append(scene(fleet))
+                runs.append(scenario(fleet))
             for name in runs[0]:
                 table.setdefault(name, []).append(f"{mean(run[name] for run in runs):.2f}")
     print(f"{'balancers':55} " + " ".join(f"{n:>8}" for n in BALANCER_COUNTS))
--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -71,12 +71,12 @@
     """Run with this many proxies; return the figures and the CPU time of the proxies for each request."""
     outcome = run.play(make_scenario(rate, proxies))
     cpu_s = 0.0
-    span_s = 0.0
+    duration_s = 0.0
     for proxy in outcome.proxies:
-        counted = [sample for sample in proxy.usage if sample.at >= 0]
-        cpu_s += counted[-1].cpu_s - counted[0].cpu_s
-        span_s = counted[-1].at - counted[0].at
-    cpu_us_per_request = cpu_s / (rate * span_s) * 1e6
+        measured = [sample for sample in proxy.usage if sample.at >= 0]
+        cpu_s += measured[-1].cpu_s - measured[0].cpu_s
+        duration_s = measured[-1].at - measured[0].at
+    cpu_us_per_request = cpu_s / (rate * duration_s) * 1e6
     return _figures(report.figures(outcome), rate) | {"proxies": proxies, "cpu_us": cpu_us_per_request}
 
 
@@ -95,8 +95,8 @@
 def measure_direct(rate: float) -> dict[str, Any]:
     """Run with clients that connect directly to the nodes; return the figures."""
     outcome = uvloop.run(_run_direct(make_scenario(rate, 1)))
-    counted = [result for result in outcome.results if result.at >= 0]
-    latency_ms = latency_percentiles(counted)
+    measured = [result for result in outcome.results if result.at >= 0]
+    latency_ms = latency_percentiles(measured)
     return {"direct": True, "rate": rate, "lab_late": outcome.late_share, **latency_ms}
 
 
@@ -126,13 +126,13 @@
     )
     with _no_garbage_collection():
         lateness = Lateness(clock)
-        await _begin_arrivals(generator, ArrivalPlan(scenario, keys), clock, start)
+        await _start_arrivals(generator, ArrivalPlan(scenario, keys), clock, start)
         lateness.stop()
     cluster.close()
     return DirectRun(generator.results, lateness.share(run.LATE_MS))
 
 
-async def _begin_arrivals(generator: LoadGenerator, plan: ArrivalPlan, clock: Clock, start: float) -> None:
+async def _start_arrivals(generator: LoadGenerator, plan: ArrivalPlan, clock: Clock, start: float) -> None:
     """Start each request at its scheduled time, then give the last ones time to finish."""
     for arrival in plan.arrivals:
         wait_ms = start + arrival.at * 1000 - clock.now()
--- a/benchmarks/model_fleet.py
+++ b/benchmarks/model_fleet.py
@@ -48,20 +48,20 @@
         self.id = sid(key)
         self.cores = cores
         self.speed = 1.0
-        self.reached = True
-        self.kept = set[int]()
-        self.line = deque[tuple[Any, float]]()
+        self.reachable = True
+        self.cached_keys = set[int]()
+        self.queue = deque[tuple[Any, float]]()
         self.work = 0  # requests being processed
-        self.ended = deque[float]()  # completion times within the last second
+        self.completion_times = deque[float]()  # completion times within the last second
         self.sent = Counter[int]()  # attempts sent to this node in each second, including failed connects
 
 
 class Fleet:
-    def __init__(self, balancers: int, nodes: int, seed: int, keys: int = 400, **more: Any) -> None:
+    def __init__(self, balancers: int, nodes: int, seed: int, key_count: int = 400, **overrides: Any) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
-        self.number = 0
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.sequence = 0
+        self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.nodes = {sid(n): Node(n, 1 if n else 4) for n in range(nodes + 1)}
         read = RequestClass(LATENCY_OBJECTIVE_MS, REQUEST_TIMEOUT_MS)
         base = Settings(
@@ -82,91 +82,93 @@
             overload_duration=1000.0,
             report_fields=["rif", "rate"],
         )
-        self.weights = [1 / (n + 5) for n in range(keys)]
+        self.weights = [1 / (n + 5) for n in range(key_count)]
         self.balancers = list[Balancer]()
         # Counts by second: all requests, requests answered in time, and rejected requests.
-        self.asked = Counter[int]()
+        self.received = Counter[int]()
         self.in_time = Counter[int]()
         self.rejected = Counter[int]()
-        self.open: dict[tuple[int, int], tuple[float, list[bytes]]] = {}
-        listed = [Endpoint(i, server_kind=int(i == ORIGIN)) for i in self.nodes]
+        self.unanswered: dict[tuple[int, int], tuple[float, list[bytes]]] = {}
+        endpoints = [Endpoint(i, server_kind=int(i == ORIGIN)) for i in self.nodes]
         for n in range(balancers):
-            one = Balancer(replace(base, balancer_index=n, **more), seed + n, 0.0)
-            self.balancers.append(one)
-            self.act(n, one.start(0.0))
-            self.feed(n, EndpointUpdate(EndpointUpdateKind.CACHED, 1, list(listed)))
+            balancer = Balancer(replace(base, balancer_index=n, **overrides), seed + n, 0.0)
+            self.balancers.append(balancer)
+            self.execute(n, balancer.start(0.0))
+            self.feed(n, EndpointUpdate(EndpointUpdateKind.CACHED, 1, list(endpoints)))
 
     @property
     def second(self) -> int:
         return int(self.now // 1000)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        self.number += 1
-        heapq.heappush(self.queue, (when, self.number, call))
+        self.sequence += 1
+        heapq.heappush(self.scheduled_calls, (when, self.sequence, call))
 
     def feed(self, n: int, event: Event) -> None:
-        self.act(n, self.balancers[n].handle(event, self.now))
-
-    def act(self, n: int, actions: list[Action]) -> None:
-        for one in list(actions):
-            if isinstance(one, StartAttempt):
-                self.attempt(n, one.request_id, self.nodes[one.server])
-            elif isinstance(one, SetTimer):
-                self.at(self.now + one.delay, lambda t=one.token: self.feed(n, TimerFired(t)))  # type: ignore[misc]
-            elif isinstance(one, Reject | Fail):
-                self.rejected[self.second] += (n, one.request_id) in self.open
-                self.open.pop((n, one.request_id), None)
-
-    def ask(self, n: int) -> None:
-        self.number += 1
+        self.execute(n, self.balancers[n].handle(event, self.now))
+
+    def execute(self, n: int, actions: list[Action]) -> None:
+        for action in list(actions):
+            if isinstance(action, StartAttempt):
+                self.attempt(n, action.request_id, self.nodes[action.server])
+            elif isinstance(action, SetTimer):
+                self.at(self.now + action.delay, lambda t=action.token: self.feed(n, TimerFired(t)))  # type: ignore[misc]
+            elif isinstance(action, Reject | Fail):
+                self.rejected[self.second] += (n, action.request_id) in self.unanswered
+                self.unanswered.pop((n, action.request_id), None)
+
+    def send_request(self, n: int) -> None:
+        self.sequence += 1
         key = self.random.choices(range(1, len(self.weights) + 1), self.weights)[0]
-        self.asked[self.second] += 1
-        self.open[n, self.number] = (self.now, [])
-        self.feed(n, RequestReceived(self.number, 0, REQUEST_TIMEOUT_MS, key=key))
+        self.received[self.second] += 1
+        self.unanswered[n, self.sequence] = (self.now, [])
+        self.feed(n, RequestReceived(self.sequence, 0, REQUEST_TIMEOUT_MS, key=key))
 
     def attempt(self, n: int, request: int, node: Node) -> None:
-        asked, tried = self.open.get((n, request), (self.now, []))
-        tried.append(node.id)
+        received_at, attempted_servers = self.unanswered.get((n, request), (self.now, []))
+        attempted_servers.append(node.id)
         node.sent[self.second] += 1
         job = _Job(
             self,
             n,
             request,
-            len(tried) - 1,
+            len(attempted_servers) - 1,
             self.balancers[n].open_requests[request].request.key,
             node,
-            asked,
+            received_at,
         )
-        if not node.reached:
+        if not node.reachable:
             self.at(self.now + CONNECT_TIMEOUT_MS, lambda: job.end(Outcome.CONNECT_FAILED))
             return
-        self.at(asked + REQUEST_TIMEOUT_MS, lambda: job.end(Outcome.TIMEOUT))
-        self.at(self.now + ONE_WAY_DELAY_MS, lambda: self.arrive(node, job))
+        self.at(received_at + REQUEST_TIMEOUT_MS, lambda: job.end(Outcome.TIMEOUT))
+        self.at(self.now + ONE_WAY_DELAY_MS, lambda: self.enqueue(node, job))
 
-    def arrive(self, node: Node, job: _Job) -> None:
+    def enqueue(self, node: Node, job: _Job) -> None:
         work = self.random.expovariate(1 / MEAN_WORK_MS) if node.id != ORIGIN else ORIGIN_WORK_MS
-        node.line.append((job, work * (1 if job.key in node.kept or node.id == ORIGIN else MISS_WORK_SHARE)))
-        self.serve(node)
+        node.queue.append(
+            (job, work * (1 if job.key in node.cached_keys or node.id == ORIGIN else MISS_WORK_SHARE))
+        )
+        self.start_next(node)
 
-    def serve(self, node: Node) -> None:
-        while node.line and node.work < node.cores:
-            job, work = node.line.popleft()
+    def start_next(self, node: Node) -> None:
+        while node.queue and node.work < node.cores:
+            job, work = node.queue.popleft()
             node.work += 1
-            self.at(self.now + work / node.speed, lambda job=job: self.leave(node, job))  # type: ignore[misc]
+            self.at(self.now + work / node.speed, lambda job=job: self.complete(node, job))  # type: ignore[misc]
 
-    def leave(self, node: Node, job: _Job) -> None:
+    def complete(self, node: Node, job: _Job) -> None:
         node.work -= 1
-        node.ended.append(self.now)
-        while node.ended[0] < self.now - 1000:
-            node.ended.popleft()
-        load = (float(len(node.line) + node.work), float(len(node.ended)))
-        hit = node.id == ORIGIN or job.key in node.kept
+        node.completion_times.append(self.now)
+        while node.completion_times[0] < self.now - 1000:
+            node.completion_times.popleft()
+        load = (float(len(node.queue) + node.work), float(len(node.completion_times)))
+        hit = node.id == ORIGIN or job.key in node.cached_keys
         if node.id == ORIGIN:
-            for other in self.open.get((job.balancer, job.request), (0, []))[1]:
-                self.nodes[other].kept.add(job.key)
+            for other in self.unanswered.get((job.balancer, job.request), (0, []))[1]:
+                self.nodes[other].cached_keys.add(job.key)
         end = Outcome.OK if hit else Outcome.MISS
         self.at(self.now + ONE_WAY_DELAY_MS, lambda: job.end(end, load))
-        self.serve(node)
+        self.start_next(node)
 
     def join(self) -> Node:
         """Add a server that starts now; all balancers are notified immediately."""
@@ -182,46 +184,56 @@
         at = self.now
         while (at := at + self.random.expovariate(rate / 1000)) < until:
             n = self.random.randrange(len(self.balancers))
-            self.at(at, lambda n=n: self.ask(n))  # type: ignore[misc]
-        while self.queue and self.queue[0][0] < until:
-            self.now, _, call = heapq.heappop(self.queue)
+            self.at(at, lambda n=n: self.send_request(n))  # type: ignore[misc]
+        while self.scheduled_calls and self.scheduled_calls[0][0] < until:
+            self.now, _, call = heapq.heappop(self.scheduled_calls)
             call()
         self.now = until
 
     def served(self, since: int, until: int) -> float:
         """Return the share of the requests of these seconds that were answered in time."""
         seconds = range(since, until)
-        return sum(self.in_time[s] for s in seconds) / sum(self.asked[s] for s in seconds)
+        return sum(self.in_time[s] for s in seconds) / sum(self.received[s] for s in seconds)
 
 
 class _Job:
     """An attempt that a node processes."""
 
     def __init__(
-        self, fleet: Fleet, balancer: int, request: int, number: int, key: int, node: Node, asked: float
+        self,
+        fleet: Fleet,
+        balancer: int,
+        request: int,
+        attempt: int,
+        key: int,
+        node: Node,
+        received_at: float,
     ) -> None:
         self.fleet = fleet
         self.balancer = balancer
         self.request = request
-        self.number = number
+        self.attempt = attempt
         self.key = key
         self.node = node
         self.sent = fleet.now
-        self.asked = asked
-        self.over = False
+        self.received_at = received_at
+        self.finished = False
 
     def end(self, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        if self.over:
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         fleet = self.fleet
-        if outcome is Outcome.OK and (self.balancer, self.request) in fleet.open:
-            del fleet.open[self.balancer, self.request]
-            fleet.in_time[int(self.asked // 1000)] += fleet.now - self.asked <= LATENCY_OBJECTIVE_MS
-        over = (self.balancer, self.request) not in fleet.open
-        took = fleet.now - self.sent
+        if outcome is Outcome.OK and (self.balancer, self.request) in fleet.unanswered:
+            del fleet.unanswered[self.balancer, self.request]
+            fleet.in_time[int(self.received_at // 1000)] += (
+                fleet.now - self.received_at <= LATENCY_OBJECTIVE_MS
+            )
+        finished = (self.balancer, self.request) not in fleet.unanswered
+        latency = fleet.now - self.sent
         hit = outcome is Outcome.OK and self.node.id != ORIGIN
         cache_result = CacheResult.HIT if hit else CacheResult.NONE
         fleet.feed(
-            self.balancer, AttemptEnded(self.request, self.number, outcome, took, over, cache_result, load)
+            self.balancer,
+            AttemptEnded(self.request, self.attempt, outcome, latency, finished, cache_result, load),
         )
--- a/lupinladder/cli/emulator/compare.py
+++ b/lupinladder/cli/emulator/compare.py
@@ -38,11 +38,11 @@
     """Read the report at a path or, if there is none, the numbered reports of its repeated runs."""
     if path.exists():
         return [_read_report(path)]
-    numbered = sorted(path.parent.glob(f"{path.stem}-[0-9]*{path.suffix}"))
-    if not numbered:
+    numbered_paths = sorted(path.parent.glob(f"{path.stem}-[0-9]*{path.suffix}"))
+    if not numbered_paths:
         message = f"{path}: no such report, and no numbered report such as {path.stem}-1{path.suffix}"
         raise InputError(message)
-    return [_read_report(one) for one in numbered]
+    return [_read_report(repeat_path) for repeat_path in numbered_paths]
 
 
 def _read_report(path: Path) -> dict[str, Any]:
--- a/lupinladder/cli/emulator/console.py
+++ b/lupinladder/cli/emulator/console.py
@@ -13,4 +13,4 @@
 
 
 console = _output_console()
-errors = Console(stderr=True)
+error_console = Console(stderr=True)
--- a/lupinladder/cli/emulator/live_view.py
+++ b/lupinladder/cli/emulator/live_view.py
@@ -9,7 +9,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from lupinladder.cli.emulator.console import errors
+from lupinladder.cli.emulator.console import error_console
 from lupinladder.emulator.result_statistics import outcome_of
 from lupinladder.emulator.run import Run
 from lupinladder.emulator.scenario import Scenario
@@ -25,19 +25,21 @@
 class LiveView:
     """Shows progress, the share of requests served in time, the load of each node and the latest faults."""
 
-    def __init__(self, played: Scenario, quiet: bool) -> None:
+    def __init__(self, scenario: Scenario, quiet: bool) -> None:
         """With `quiet`, or without a terminal, only the addresses of the proxies are printed."""
-        self._scenario = played
-        self._quiet = quiet or not errors.is_terminal
+        self._scenario = scenario
+        self._quiet = quiet or not error_console.is_terminal
         self._progress = Progress(
             TextColumn("{task.description}"),
             BarColumn(),
             TextColumn("{task.completed:.0f} of {task.total:.0f} s"),
             TimeRemainingColumn(),
-            console=errors,
+            console=error_console,
+        )
+        self._task = self._progress.add_task("playing", total=scenario.seconds)
+        self._live = Live(
+            self._progress, console=error_console, refresh_per_second=REFRESHES_PER_S, transient=True
         )
-        self._task = self._progress.add_task("playing", total=played.seconds)
-        self._live = Live(self._progress, console=errors, refresh_per_second=REFRESHES_PER_S, transient=True)
         self._addresses_shown = False
 
     def __enter__(self) -> LiveView:
@@ -54,7 +56,9 @@
         if not self._addresses_shown:
             self._addresses_shown = True
             addresses = ", ".join(proxy.address for proxy in run.proxies.all)
-            errors.print(f"proxies listen at {addresses}; any RESP client can connect to them during the run")
+            error_console.print(
+                f"proxies listen at {addresses}; any RESP client can connect to them during the run"
+            )
         self._progress.update(self._task, completed=max(0.0, min(at, self._scenario.seconds)))
         if self._quiet:
             return
@@ -69,8 +73,8 @@
         table.add_row("requests at the origin", str(run.cluster.origin.core.queue.held), "", "")
         for row in islice(_node_rows(run), MAX_NODES):
             table.add_row(*row)
-        for when, what in run.faults.marks[-MAX_MARKS:]:
-            table.add_row(f"{when:6.1f} s", what)
+        for marked_at, text in run.faults.marks[-MAX_MARKS:]:
+            table.add_row(f"{marked_at:6.1f} s", text)
         return table
 
     def _recent_share(self, at: float, run: Run) -> str:
@@ -86,7 +90,7 @@
 def _node_rows(run: Run) -> Iterator[tuple[str, str, str, str]]:
     now = run.clock.now()
     for name, node in run.cluster.nodes.items():
-        machine = node.core.queue
-        warmth = machine.warmth(now)
+        request_queue = node.core.queue
+        warmth = request_queue.warmth(now)
         state = "" if warmth >= 1 else f"cold, {warmth:.0%}"
-        yield name, "#" * min(machine.held, MAX_BAR_LENGTH), "", state
+        yield name, "#" * min(request_queue.held, MAX_BAR_LENGTH), "", state
--- a/lupinladder/cli/emulator/options.py
+++ b/lupinladder/cli/emulator/options.py
@@ -30,12 +30,12 @@
         """Return the options for one of several runs, with file names of its own; `number` starts at 1."""
         return replace(
             self,
-            report_path=_numbered(self.report_path, number),
-            plot_path=_numbered(self.plot_path, number),
-            logs=self.logs_of(number),
+            report_path=_numbered_path(self.report_path, number),
+            plot_path=_numbered_path(self.plot_path, number),
+            logs=self.logs_for_run(number),
         )
 
-    def logs_of(self, number: int) -> Path | None:
+    def logs_for_run(self, number: int) -> Path | None:
         """Return the log folder of one of several runs."""
         return self.logs / str(number) if self.logs else None
 
@@ -45,7 +45,7 @@
             self.report_path.write_text(json.dumps(tree, indent=1) + "\n")
 
 
-def _numbered(path: Path | None, number: int) -> Path | None:
+def _numbered_path(path: Path | None, number: int) -> Path | None:
     return path.with_stem(f"{path.stem}-{number}") if path else None
 
 
@@ -58,8 +58,8 @@
     @click.option("--quiet", is_flag=True, help="Do not show the live view.")
     @functools.wraps(command)
     def with_output(
-        report_path: Path | None, plot_path: Path | None, logs: Path | None, quiet: bool, **others: Any
+        report_path: Path | None, plot_path: Path | None, logs: Path | None, quiet: bool, **other_options: Any
     ) -> None:
-        command(output=OutputOptions(report_path, plot_path, logs, quiet), **others)
+        command(output=OutputOptions(report_path, plot_path, logs, quiet), **other_options)
 
     return with_output
--- a/lupinladder/cli/emulator/play.py
+++ b/lupinladder/cli/emulator/play.py
@@ -83,17 +83,17 @@
 
     If there are several runs, -1, -2 and so on is inserted before the ending of each file that is written.
     """
-    played = [scenario for name in scenarios for scenario in _repeats(name, seed, seconds, repeat)]
-    worst = report.ExitCode.RULES_KEPT
-    for number, scenario in enumerate(played, 1):
+    runs = [scenario for name in scenarios for scenario in _repeated_scenarios(name, seed, seconds, repeat)]
+    exit_code = report.ExitCode.RULES_KEPT
+    for number, scenario in enumerate(runs, 1):
         if rate is not None:
             scenario.load = [LoadPhase(0, rate)]
-        own_output = output.for_run(number) if len(played) > 1 else output
-        worst = max(worst, _play_and_report(scenario, own_output))
-    sys.exit(worst)
+        run_output = output.for_run(number) if len(runs) > 1 else output
+        exit_code = max(exit_code, _play_and_report(scenario, run_output))
+    sys.exit(exit_code)
 
 
-def _repeats(name: str, seed: int | None, seconds: float | None, count: int) -> Iterator[Scenario]:
+def _repeated_scenarios(name: str, seed: int | None, seconds: float | None, count: int) -> Iterator[Scenario]:
     """Yield the scenario `count` times, with consecutive seeds."""
     for offset in range(count):
         scenario = read_scenario(name, seed, seconds)
--- a/lupinladder/cli/emulator/restart_recovery.py
+++ b/lupinladder/cli/emulator/restart_recovery.py
@@ -54,7 +54,7 @@
     rows = []
     for seed in parse_seeds(seeds):
         scenario = restart_recovery.scenario(proxies, kill, store, discovery, seed)
-        outcome = play(scenario, output.quiet, output.logs_of(seed))
+        outcome = play(scenario, output.quiet, output.logs_for_run(seed))
         row = restart_recovery.figures(outcome)
         console.print(_row_text(row))
         rows.append(row)
--- a/lupinladder/cli/emulator/scenarios.py
+++ b/lupinladder/cli/emulator/scenarios.py
@@ -23,28 +23,28 @@
     Raises InputError if the scenario is invalid.
     """
     try:
-        found = scenario.read(name)
+        loaded_scenario = scenario.read(name)
     except TomlError as error:
         raise InputError(str(error)) from None
     if seed is not None:
-        found.seed = seed
+        loaded_scenario.seed = seed
     if seconds is not None:
-        _scale(found, seconds)
-    return found
+        _scale(loaded_scenario, seconds)
+    return loaded_scenario
 
 
-def _scale(played: Scenario, seconds: float) -> None:
+def _scale(loaded_scenario: Scenario, seconds: float) -> None:
     """Scale a scenario to this duration; load and faults keep their relative times. Drains are not scaled,
     because the delay of the endpoint list is not scaled either."""
-    factor = seconds / played.seconds
-    played.seconds = seconds
-    for phase in played.load:
+    factor = seconds / loaded_scenario.seconds
+    loaded_scenario.seconds = seconds
+    for phase in loaded_scenario.load:
         phase.at *= factor
-    for fault in played.faults:
+    for fault in loaded_scenario.faults:
         fault.at *= factor
         if fault.kind not in UNSCALED_FAULTS:
             fault.for_s *= factor
-    for clients in played.misbehaving_clients:
+    for clients in loaded_scenario.misbehaving_clients:
         clients.at *= factor
         clients.for_s *= factor
 
@@ -57,8 +57,8 @@
     for name in ("name", "seconds", "about"):
         table.add_column(name)
     for name in scenario.shipped():
-        found = scenario.read(name)
-        table.add_row(name, f"{found.seconds:g}", found.about)
+        loaded_scenario = scenario.read(name)
+        table.add_row(name, f"{loaded_scenario.seconds:g}", loaded_scenario.about)
     console.print(table)
 
 
@@ -67,6 +67,6 @@
 @example("lupinladder emulator check mine.toml")
 def check(name: str) -> None:
     """Check a scenario and report the first error in it."""
-    found = read_scenario(name)
-    counts = f"{len(found.faults)} faults, {len(found.load)} load phases"
-    click.echo(f"{name}: {found.seconds:g} s, {counts}: valid")
+    loaded_scenario = read_scenario(name)
+    counts = f"{len(loaded_scenario.faults)} faults, {len(loaded_scenario.load)} load phases"
+    click.echo(f"{name}: {loaded_scenario.seconds:g} s, {counts}: valid")
--- a/lupinladder/cli/emulator/soak.py
+++ b/lupinladder/cli/emulator/soak.py
@@ -47,7 +47,7 @@
 
 
 def _play_seed(scenario: Scenario, output: OutputOptions, folder: Path) -> dict[str, Any]:
-    outcome = play(scenario, output.quiet, output.logs_of(scenario.seed) or folder)
+    outcome = play(scenario, output.quiet, output.logs_for_run(scenario.seed) or folder)
     tree = report.figures(outcome)
     stops_processes = any(fault.kind == "freeze" for fault in scenario.faults)
     alarms = read_alarms((proxy.log_path for proxy in outcome.proxies), stops_processes)
@@ -73,6 +73,6 @@
         console.print(f"  {row['void'][:300]}", markup=False)
     for line in [*row["broken"], *row["alarms"]][:MAX_SHOWN]:
         console.print(f"  {line[:600]}", markup=False)
-    hidden = len(row["broken"]) + len(row["alarms"]) - MAX_SHOWN
-    if hidden > 0:
-        console.print(f"  {hidden} more are not shown")
+    hidden_count = len(row["broken"]) + len(row["alarms"]) - MAX_SHOWN
+    if hidden_count > 0:
+        console.print(f"  {hidden_count} more are not shown")
--- a/lupinladder/cli/emulator/standalone.py
+++ b/lupinladder/cli/emulator/standalone.py
@@ -16,12 +16,12 @@
 }
 
 
-def _add_command(server: ServerType) -> None:
+def _add_command(server_type: ServerType) -> None:
     def serve(seconds: float, scenario_name: str) -> None:
-        run_standalone(server, read_scenario(scenario_name), seconds, click.echo)
+        run_standalone(server_type, read_scenario(scenario_name), seconds, click.echo)
 
-    serve.__doc__ = DESCRIPTIONS[server]
-    serve = example(f"lupinladder emulator {server} --seconds 60")(serve)
+    serve.__doc__ = DESCRIPTIONS[server_type]
+    serve = example(f"lupinladder emulator {server_type} --seconds 60")(serve)
     scenario_option = click.option(
         "--scenario",
         "scenario_name",
@@ -32,8 +32,8 @@
     seconds_option = click.option(
         "--seconds", type=click.FloatRange(0.1, 86_400), default=60.0, show_default=True
     )
-    emulator.command(server.value)(seconds_option(scenario_option(serve)))
+    emulator.command(server_type.value)(seconds_option(scenario_option(serve)))
 
 
-for _server in ServerType:
-    _add_command(_server)
+for _server_type in ServerType:
+    _add_command(_server_type)
--- a/lupinladder/cli/store.py
+++ b/lupinladder/cli/store.py
@@ -71,8 +71,8 @@
     scan = _scan(path)
     size = path.stat().st_size
     if scan.damage:
-        place = f"at byte {scan.valid_bytes} of {size}"
-        click.echo(f"{path}: {place}: {scan.damage}; {len(scan.records)} records are valid")
+        position = f"at byte {scan.valid_bytes} of {size}"
+        click.echo(f"{path}: {position}: {scan.damage}; {len(scan.records)} records are valid")
         raise SystemExit(EXIT_DAMAGED)
     if records.fold(scan) is None:
         click.echo(f"{path}: its first record does not name the owner; a proxy would ignore this store")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
 MAX_KNOWN_RED = 3
 
 
-def known(path: Path) -> dict[str, str]:
+def read_known_failures(path: Path) -> dict[str, str]:
     """Return the listed tests, each with its cause and issue."""
     lines = [line.split("|") for line in path.read_text().splitlines() if line.strip()]
     if any(len(line) != 3 or not all(part.strip() for part in line) for line in lines):
@@ -28,14 +28,14 @@
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     path = config.rootpath / "KNOWN-RED.txt"
-    red = known(path) if path.exists() else {}
-    found = {item.nodeid: item for item in items}
-    whole = not (config.option.file_or_dir or config.option.keyword or config.option.markexpr)
-    if whole and (missing := sorted(set(red) - set(found))):
+    known_failures = read_known_failures(path) if path.exists() else {}
+    items_by_id = {item.nodeid: item for item in items}
+    is_full_run = not (config.option.file_or_dir or config.option.keyword or config.option.markexpr)
+    if is_full_run and (missing := sorted(set(known_failures) - set(items_by_id))):
         message = f"{path.name}: no such test: {', '.join(missing)}"
         raise pytest.UsageError(message)
-    for name in red.keys() & found.keys():
-        found[name].add_marker(pytest.mark.xfail(reason=red[name], strict=True))
+    for name in known_failures.keys() & items_by_id.keys():
+        items_by_id[name].add_marker(pytest.mark.xfail(reason=known_failures[name], strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -28,15 +28,15 @@
 )
 from lupinladder.balancing.settings import DeduplicationScope, RequestClass, RetrySafety, Settings
 
-NEVER_RAN = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS}
+NOT_EXECUTED = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS}
 
 
 def sid(n: int) -> bytes:
     return (n * 2654435761 % 2**32).to_bytes(4, "big") + n.to_bytes(2, "big")
 
 
-def entries(n: int, **more: object) -> list[Endpoint]:
-    return [Endpoint(sid(i), zone=i % 2, cell=i % 3, **more) for i in range(n)]  # type: ignore[arg-type]
+def entries(n: int, **overrides: object) -> list[Endpoint]:
+    return [Endpoint(sid(i), zone=i % 2, cell=i % 3, **overrides) for i in range(n)]  # type: ignore[arg-type]
 
 
 def classes() -> list[RequestClass]:
@@ -49,7 +49,7 @@
     ]
 
 
-def settings(**more: object) -> Settings:
+def settings(**overrides: object) -> Settings:
     base: dict[str, object] = {
         "classes": classes(),
         "balancer_count": 4,
@@ -61,7 +61,7 @@
         "overload_factor": 3.0,
         "overload_duration": 3000.0,
     }
-    return Settings(**{**base, **more})  # type: ignore[arg-type]
+    return Settings(**{**base, **overrides})  # type: ignore[arg-type]
 
 
 @dataclass
@@ -84,7 +84,7 @@
         self.now = now
         self.seen: dict[int, Seen] = {}
         self.timers: list[tuple[float, int]] = []
-        self.entry: dict[bytes, Endpoint] = {}
+        self.known_endpoints: dict[bytes, Endpoint] = {}
         self.sends: list[tuple[float, bytes]] = []
         self.notes: list[str] = []
         self.follows = 0
@@ -93,21 +93,31 @@
     def feed(self, event: Event) -> list[Action]:
         if isinstance(event, EndpointUpdate) and event.kind is not EndpointUpdateKind.FAILED:
             if event.kind is not EndpointUpdateKind.DELTA:
-                named = {e.server for e in event.endpoints}
-                for known in self.entry.values():
-                    known.state = known.state if known.server in named else EndpointState.GONE
-            for e in event.endpoints:
-                self.entry[e.server] = Endpoint(
-                    e.server, e.state, 1.0, e.started_at, e.zone, e.cell, e.server_kind
+                listed_servers = {endpoint.server for endpoint in event.endpoints}
+                for known_endpoint in self.known_endpoints.values():
+                    known_endpoint.state = (
+                        known_endpoint.state
+                        if known_endpoint.server in listed_servers
+                        else EndpointState.GONE
+                    )
+            for endpoint in event.endpoints:
+                self.known_endpoints[endpoint.server] = Endpoint(
+                    endpoint.server,
+                    endpoint.state,
+                    1.0,
+                    endpoint.started_at,
+                    endpoint.zone,
+                    endpoint.cell,
+                    endpoint.server_kind,
                 )
         if isinstance(event, RequestReceived) and event.request_id not in self.seen:
             self.seen[event.request_id] = Seen(event, self.now + event.timeout)
         if isinstance(event, ClientDisconnected):
             self.seen[event.request_id].answered = True
         if isinstance(event, AttemptEnded):
-            one = self.seen[event.request_id]
-            one.outcomes[event.attempt] = event.outcome
-            one.answered = one.answered or event.request_finished
+            seen_request = self.seen[event.request_id]
+            seen_request.outcomes[event.attempt] = event.outcome
+            seen_request.answered = seen_request.answered or event.request_finished
         actions = self.balancer.handle(event, self.now)
         self.carry_out(actions)
         return actions
@@ -121,81 +131,92 @@
             elif isinstance(action, LogMessage):
                 self.notes.append(action.text)
             elif isinstance(action, StartAttempt):
-                self.check_try(self.seen[action.request_id], action.server)
+                self.check_attempt(self.seen[action.request_id], action.server)
             elif isinstance(action, Reject | Fail):
                 self.check_answer(self.seen[action.request_id], isinstance(action, Reject))
 
-    def check_try(self, one: Seen, server: bytes) -> None:
-        kind = self.config.classes[one.request.request_class]
-        assert not one.answered, "a request was sent after its final answer"
-        assert self.now < one.deadline, "a request was sent after its deadline"
-        assert len(one.tries) < self.config.max_attempts, "more attempts than allowed"
-        assert self.entry[server].state is EndpointState.READY, "the server of an attempt is not ready"
+    def check_attempt(self, seen_request: Seen, server: bytes) -> None:
+        class_settings = self.config.classes[seen_request.request.request_class]
+        assert not seen_request.answered, "a request was sent after its final answer"
+        assert self.now < seen_request.deadline, "a request was sent after its deadline"
+        assert len(seen_request.tries) < self.config.max_attempts, "more attempts than allowed"
+        assert self.known_endpoints[server].state is EndpointState.READY, (
+            "the server of an attempt is not ready"
+        )
         if not self.config.may_duplicate:
-            assert None not in one.outcomes, "a request has two attempts in flight"
-        ran = [t for t, o in zip(one.tries, one.outcomes, strict=True) if o not in NEVER_RAN]
-        if ran and kind.retry_safety is RetrySafety.NON_IDEMPOTENT:
+            assert None not in seen_request.outcomes, "a request has two attempts in flight"
+        executed = [
+            t for t, o in zip(seen_request.tries, seen_request.outcomes, strict=True) if o not in NOT_EXECUTED
+        ]
+        if executed and class_settings.retry_safety is RetrySafety.NON_IDEMPOTENT:
             text = "a non-idempotent request was retried although it may have run"
             raise AssertionError(text)
-        if ran and kind.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
-            assert self.now - ran[0][1] < kind.deduplication_window, (
+        if executed and class_settings.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
+            assert self.now - executed[0][1] < class_settings.deduplication_window, (
                 "a request was retried after the servers have forgotten its key"
             )
-            for earlier, _ in ran:
-                a = self.entry[earlier]
-                b = self.entry[server]
-                assert kind.deduplication_scope is not DeduplicationScope.ZONE or a.zone == b.zone, (
-                    "a request was retried outside its zone"
-                )
-                assert kind.deduplication_scope is not DeduplicationScope.CELL or a.cell == b.cell, (
-                    "a request was retried outside its cell"
-                )
-        one.tries.append((server, self.now))
-        one.outcomes.append(None)
+            for earlier, _ in executed:
+                earlier_endpoint = self.known_endpoints[earlier]
+                endpoint = self.known_endpoints[server]
+                assert (
+                    class_settings.deduplication_scope is not DeduplicationScope.ZONE
+                    or earlier_endpoint.zone == endpoint.zone
+                ), "a request was retried outside its zone"
+                assert (
+                    class_settings.deduplication_scope is not DeduplicationScope.CELL
+                    or earlier_endpoint.cell == endpoint.cell
+                ), "a request was retried outside its cell"
+        seen_request.tries.append((server, self.now))
+        seen_request.outcomes.append(None)
         self.sends.append((self.now, server))
 
-    def check_answer(self, one: Seen, rejected: bool) -> None:
-        kind = self.config.classes[one.request.request_class]
-        assert not one.answered, "a request was answered twice"
-        assert self.now <= one.deadline + 20, "a request was answered too late"
+    def check_answer(self, seen_request: Seen, rejected: bool) -> None:
+        class_settings = self.config.classes[seen_request.request.request_class]
+        assert not seen_request.answered, "a request was answered twice"
+        assert self.now <= seen_request.deadline + 20, "a request was answered too late"
         if (
             rejected
-            and kind.retry_safety is not RetrySafety.IDEMPOTENT
-            and any(o not in NEVER_RAN for o in one.outcomes)
+            and class_settings.retry_safety is not RetrySafety.IDEMPOTENT
+            and any(o not in NOT_EXECUTED for o in seen_request.outcomes)
         ):
             shared = (
-                kind.retry_safety is RetrySafety.IDEMPOTENCY_KEY
-                and kind.deduplication_scope is DeduplicationScope.ALL
+                class_settings.retry_safety is RetrySafety.IDEMPOTENCY_KEY
+                and class_settings.deduplication_scope is DeduplicationScope.ALL
             )
             assert shared, "a rejection says that the request did not run, which may not hold"
-        one.answered = True
+        seen_request.answered = True
 
-    def end(self, request: int, attempt: int, outcome: Outcome, latency: float | None = None) -> None:
+    def end(self, request_id: int, attempt: int, outcome: Outcome, latency: float | None = None) -> None:
         """End an attempt at the current time."""
-        one = self.seen[request]
-        took = self.now - one.tries[attempt][1] if latency is None else latency
-        over = one.answered or outcome is Outcome.OK
-        self.feed(AttemptEnded(request, attempt, outcome, took, over))
+        seen_request = self.seen[request_id]
+        duration = self.now - seen_request.tries[attempt][1] if latency is None else latency
+        finished = seen_request.answered or outcome is Outcome.OK
+        self.feed(AttemptEnded(request_id, attempt, outcome, duration, finished))
 
     def advance(self, until: float) -> None:
         """Advance the time: timers fire, and attempts time out at the deadline of their request."""
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers if at <= until]
-            for one in self.seen.values():
-                for n, outcome in enumerate(one.outcomes):
-                    if outcome is None and one.deadline <= until:
-                        due.append((one.deadline, 1, one.request.request_id, n))
+            for seen_request in self.seen.values():
+                for n, outcome in enumerate(seen_request.outcomes):
+                    if outcome is None and seen_request.deadline <= until:
+                        due.append((seen_request.deadline, 1, seen_request.request.request_id, n))
             if not due:
                 break
-            at, what, which, n = min(due)
+            at, event_type, number, n = min(due)
             self.now = max(self.now, at)
-            if what == 0:
-                self.timers.remove((at, which))
-                self.feed(TimerFired(which))
+            if event_type == 0:
+                self.timers.remove((at, number))
+                self.feed(TimerFired(number))
             else:
-                self.end(which, n, Outcome.TIMEOUT)
+                self.end(number, n, Outcome.TIMEOUT)
         self.now = max(self.now, until)
 
     def out(self) -> list[tuple[int, int]]:
         """Return (request id, attempt number) of all attempts in flight."""
-        return [(i, n) for i, one in self.seen.items() for n, o in enumerate(one.outcomes) if o is None]
+        return [
+            (i, n)
+            for i, seen_request in self.seen.items()
+            for n, o in enumerate(seen_request.outcomes)
+            if o is None
+        ]
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -31,9 +31,9 @@
 MISSED = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 
 
-def get(ident: bytes = b"a", wait: int = 900) -> bytes:
+def get(request_id: bytes = b"a", wait: int = 900) -> bytes:
     """Return a read with this request id and a client timeout of `wait` ms."""
-    return GET % (ident, wait)
+    return GET % (request_id, wait)
 
 
 class RecordingPeer:
@@ -75,16 +75,16 @@
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address: Address = self.sock.getsockname()
         self._loop = loop
-        loop.watch(self.sock, 0, READ, self._ready)
+        loop.watch(self.sock, 0, READ, self._on_ready)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         peer = self.peer_type()
         peer.conn = Connection(self._loop, DescriptorBudget(99), self.sock.accept()[0], peer)
         self.peers.append(peer)
 
     def close(self) -> None:
         if self.sock.fileno() >= 0:
-            self._loop.watch(self.sock, READ, 0, self._ready)
+            self._loop.watch(self.sock, READ, 0, self._on_ready)
             self.sock.close()
 
 
@@ -162,9 +162,9 @@
     UNTIL_TIMEOUT_MS = 5000.0
 
     def setUp(self) -> None:
-        quiet = mock.patch("builtins.print")
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        print_patch = mock.patch("builtins.print")
+        print_patch.start()
+        self.addCleanup(print_patch.stop)
         self.loop = EventLoop()
         self.budget = DescriptorBudget(self.SOCKETS)
         self.script = ScriptedBalancer()
@@ -208,12 +208,14 @@
 
     def until(self, done: Callable[[], object], what: str = "") -> None:
         """Run the event loop until `done` returns true. The test fails after UNTIL_TIMEOUT_MS."""
-        late = list[bool]()
-        limit = self.loop.call_at(self.loop.now() + self.UNTIL_TIMEOUT_MS, lambda: late.append(True))
+        timed_out = list[bool]()
+        timeout_timer = self.loop.call_at(
+            self.loop.now() + self.UNTIL_TIMEOUT_MS, lambda: timed_out.append(True)
+        )
         while not done():
             self.loop.run_once()
-            self.assertFalse(late, f"timed out waiting for {what}")
-        self.loop.cancel(limit)
+            self.assertFalse(timed_out, f"timed out waiting for {what}")
+        self.loop.cancel(timeout_timer)
 
     def client(self, data: bytes = b"") -> RecordingPeer:
         """Connect a client to the listener and send `data`."""
@@ -225,9 +227,9 @@
     def stand_still(self, ms: float) -> None:
         """Advance the clock by `ms` between two loop iterations, as when the process gets no CPU time."""
         monotonic = time.monotonic
-        later = mock.patch("time.monotonic", lambda: monotonic() + ms / 1000)
-        later.start()
-        self.addCleanup(later.stop)
+        clock_patch = mock.patch("time.monotonic", lambda: monotonic() + ms / 1000)
+        clock_patch.start()
+        self.addCleanup(clock_patch.stop)
 
     def ask(self, wait: float = 900) -> RecordingHandler:
         """Pass a read directly to the dispatcher, with a client timeout of `wait` ms."""
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -21,7 +21,7 @@
 END_TIMEOUT_S = 30
 
 
-class EndedWithTest(subprocess.Popen[bytes]):
+class KilledOnTestFailure(subprocess.Popen[bytes]):
     """A process that is killed when its test fails, so that the test does not wait for it."""
 
     def __exit__(self, exc_type: Any, exc_value: Any, exc_traceback: Any) -> None:
@@ -40,7 +40,7 @@
         self.config_path = Path(folder.name) / "config.json"
 
     def start(self, env: dict[str, str], stderr: int = subprocess.PIPE) -> subprocess.Popen[bytes]:
-        process = EndedWithTest(
+        process = KilledOnTestFailure(
             [sys.executable, "-m", "lupinladder"], cwd=ROOT, env={**os.environ, **env}, stderr=stderr
         )
         self.addCleanup(process.kill)  # has no effect if the process has ended
@@ -48,11 +48,11 @@
 
     def configuration(self) -> dict[str, Any]:
         """Return a configuration with a free port to listen on and this scene's node as the only endpoint."""
-        conf = configuration()
+        config = configuration()
         with socket.create_server(("127.0.0.1", 0)) as spare:
-            conf["listen"] = f"127.0.0.1:{spare.getsockname()[1]}"
-        conf["known"] = listing(type="m2", address=f"127.0.0.1:{self.node.address[1]}", since_ms=0)
-        return conf
+            config["listen"] = f"127.0.0.1:{spare.getsockname()[1]}"
+        config["known"] = listing(type="m2", address=f"127.0.0.1:{self.node.address[1]}", since_ms=0)
+        return config
 
     def until_logged(self, process: subprocess.Popen[bytes], event: str) -> bytes:
         """Return the next log line of this event. The test fails if the log of the process ends first."""
@@ -63,10 +63,10 @@
         message = f"the process ended without a log line of {event}"
         raise AssertionError(message)
 
-    def start_listening(self, conf: dict[str, Any]) -> subprocess.Popen[bytes]:
+    def start_listening(self, config: dict[str, Any]) -> subprocess.Popen[bytes]:
         """Start with this configuration and wait until the proxy listens; `client` then connects to it."""
-        self.config_path.write_text(json.dumps(conf))
+        self.config_path.write_text(json.dumps(config))
         process = self.start({"GW_CONFIG": str(self.config_path)})
         self.until_logged(process, "metrics")
-        self.address = parse_address(conf["listen"])
+        self.address = parse_address(config["listen"])
         return process
--- a/tests/support/store_scene.py
+++ b/tests/support/store_scene.py
@@ -37,7 +37,7 @@
         self.error_number = error_number
         self.written_share = written_share
 
-    def _step(self) -> None:
+    def _count_operation(self) -> None:
         """Count an operation, and raise the error if the allowed number is exceeded."""
         self.steps -= 1
         if self.steps >= 0:
@@ -47,27 +47,27 @@
         raise ProcessEnded
 
     def create(self, path: Path) -> int:
-        self._step()
+        self._count_operation()
         return super().create(path)
 
     def write(self, descriptor: int, data: bytes) -> None:
         try:
-            self._step()
+            self._count_operation()
         except (OSError, ProcessEnded):
             super().write(descriptor, data[: int(len(data) * self.written_share)])
             raise
         super().write(descriptor, data)
 
     def sync(self, descriptor: int) -> None:
-        self._step()
+        self._count_operation()
         super().sync(descriptor)
 
     def replace(self, source: Path, target: Path) -> None:
-        self._step()
+        self._count_operation()
         super().replace(source, target)
 
     def sync_folder(self, path: Path) -> None:
-        self._step()
+        self._count_operation()
         super().sync_folder(path)
 
 
@@ -92,9 +92,9 @@
 def versions(state: StoredState | None) -> list[float]:
     """Return the versions of the list, the slot loads and each limit, in the order of writing."""
     assert state
-    of_list = [state.endpoint_list.at] if state.endpoint_list else []
-    of_slots = list(set(state.slot_load.slot_load.values())) if state.slot_load else []
-    return [*of_list, *of_slots, *(limit.at for limit in state.limits.values())]
+    list_versions = [state.endpoint_list.at] if state.endpoint_list else []
+    slot_versions = list(set(state.slot_load.slot_load.values())) if state.slot_load else []
+    return [*list_versions, *slot_versions, *(limit.at for limit in state.limits.values())]
 
 
 class StoreTestCase(TestCase):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,19 +19,19 @@
 
 
 class KnownRed(TestCase):
-    def test_red_ones_pass_over_and_all_else_about_them_fails(self) -> None:
+    def test_listed_failures_pass_and_each_error_in_the_list_fails_the_run(self) -> None:
         red, green = (f"test_some.py::Some::test_{name}" for name in ("red", "green"))
-        why = " | a cause | issue 1\n"
-        for lines, code, said in (
+        cause = " | a cause | issue 1\n"
+        for lines, exit_code, expected_output in (
             ("", 1, "FAILED test_some.py::Some::test_red"),
-            (red + why + "\n", 0, f"known red: {red}: a cause (issue 1)"),
-            (red + why + green + why, 1, "XPASS(strict)"),
+            (red + cause + "\n", 0, f"known red: {red}: a cause (issue 1)"),
+            (red + cause + green + cause, 1, "XPASS(strict)"),
             (
-                red + why + "test_some.py::Some::test_none" + why,
+                red + cause + "test_some.py::Some::test_none" + cause,
                 4,
                 "no such test: test_some.py::Some::test_none",
             ),
-            (red + why + "a" + why + "b" + why + "c" + why, 4, "4 lines, 3 are allowed"),
+            (red + cause + "a" + cause + "b" + cause + "c" + cause, 4, "4 lines, 3 are allowed"),
             (red, 4, "a line is not"),
         ):
             with self.subTest(lines=lines), tempfile.TemporaryDirectory() as folder:
@@ -42,7 +42,7 @@
                 ):
                     (Path(folder) / name).write_text(text)
                 shutil.copy(HERE / "conftest.py", folder)
-                words = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-                done = subprocess.run(words, cwd=folder, capture_output=True, text=True)
-                self.assertEqual(done.returncode, code, done.stdout + done.stderr)
-                self.assertIn(said, done.stdout + done.stderr)
+                command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
+                result = subprocess.run(command, cwd=folder, capture_output=True, text=True)
+                self.assertEqual(result.returncode, exit_code, result.stdout + result.stderr)
+                self.assertIn(expected_output, result.stdout + result.stderr)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -15,7 +15,7 @@
 VALUE = b"$1\r\nV\r\n"
 
 
-class ChangesOfTheList(ProxyProcess):
+class EndpointListChanges(ProxyProcess):
     """A proxy with a list of the maximum size, and a fake discovery that sends changes."""
 
     UNTIL_TIMEOUT_MS = 30_000.0
@@ -26,11 +26,11 @@
         self.addCleanup(self.nodes.close)
         self.discovery = RecordingListener(self.loop)
         self.addCleanup(self.discovery.close)
-        conf = self.configuration()
-        conf["settings"]["membership-mode"] = "push"
-        conf["discovery"] = f"127.0.0.1:{self.discovery.address[1]}"
-        conf["known"]["endpoints"] = entries(range(LARGE_FLEET), self.port)
-        self.process = self.start_listening(conf)
+        config = self.configuration()
+        config["settings"]["membership-mode"] = "push"
+        config["discovery"] = f"127.0.0.1:{self.discovery.address[1]}"
+        config["known"]["endpoints"] = entries(range(LARGE_FLEET), self.port)
+        self.process = self.start_listening(config)
         self.addCleanup(self.process.communicate)
         self.addCleanup(self.process.kill)
         self.watch = self.at_node(0, self.discovery)
@@ -58,7 +58,7 @@
         for number in range(REQUESTS):
             self.assert_answered(number)
 
-    def assert_ends_in_order(self) -> None:
+    def assert_graceful_shutdown(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.until(lambda: self.serving_client.ends, "the end")
         self.serving_client.conn.close()
@@ -71,20 +71,20 @@
         ]
         self.watch.conn.send(chunks(*versions))
         self.assert_requests_answered()
-        self.assert_ends_in_order()
+        self.assert_graceful_shutdown()
 
-    def test_requests_are_answered_in_time_while_a_whole_list_replaces_half_of_the_servers(self) -> None:
+    def test_requests_are_answered_in_time_while_a_snapshot_replaces_half_of_the_servers(self) -> None:
         half = LARGE_FLEET // 2
-        whole = list_text(9, entries(range(half, half + LARGE_FLEET), self.port), is_snapshot=True)
-        self.watch.conn.send(chunks(whole))
+        snapshot = list_text(9, entries(range(half, half + LARGE_FLEET), self.port), is_snapshot=True)
+        self.watch.conn.send(chunks(snapshot))
         self.assert_requests_answered()
-        self.assert_ends_in_order()
+        self.assert_graceful_shutdown()
 
-    def test_a_stop_and_a_reload_in_the_middle_of_a_long_list_leave_no_request_without_an_answer(
+    def test_a_reload_and_a_shutdown_during_a_large_update_leave_no_request_unanswered(
         self,
     ) -> None:
-        other = range(2 * LARGE_FLEET, 3 * LARGE_FLEET)
-        self.watch.conn.send(chunks(list_text(9, entries(other, self.port), is_snapshot=True)))
+        replacements = range(2 * LARGE_FLEET, 3 * LARGE_FLEET)
+        self.watch.conn.send(chunks(list_text(9, entries(replacements, self.port), is_snapshot=True)))
         self.process.send_signal(signal.SIGHUP)
         self.process.send_signal(signal.SIGTERM)
         client = self.serving_client
