--- a/benchmarks/model_fleet.py
+++ b/benchmarks/model_fleet.py
@@ -33,19 +33,19 @@
 MISS_WORK_SHARE = 0.2  # relative to the work of a hit
 
 
-def sid(n: int) -> bytes:
+def server_id(n: int) -> bytes:
     """Return the id of server `n`; the ids do not sort in the order of the numbers."""
     return (n * 2654435761 % 2**32).to_bytes(4, "big") + n.to_bytes(2, "big")
 
 
-ORIGIN = sid(0)
+ORIGIN = server_id(0)
 
 
 class Node:
     """A model node with a FIFO queue, which sends load reports as cache nodes do."""
 
     def __init__(self, key: int, cores: int = 1) -> None:
-        self.id = sid(key)
+        self.id = server_id(key)
         self.cores = cores
         self.speed = 1.0
         self.reachable = True
@@ -62,7 +62,7 @@
         self.now = 0.0
         self.sequence = 0
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.nodes = {sid(n): Node(n, 1 if n else 4) for n in range(nodes + 1)}
+        self.nodes = {server_id(n): Node(n, 1 if n else 4) for n in range(nodes + 1)}
         read = RequestClass(LATENCY_OBJECTIVE_MS, REQUEST_TIMEOUT_MS)
         base = Settings(
             [read],
--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -17,7 +17,7 @@
     RequestReceived,
 )
 from tests.support import balancer_harness
-from tests.support.balancer_harness import Proxy, entries, sid
+from tests.support.balancer_harness import Proxy, entries, server_id
 
 
 def create_proxy(n: int = 12, **config: object) -> Proxy:
@@ -165,14 +165,14 @@
 def test_cache_aside_concurrent_misses_wait_for_one_fetch() -> None:
     conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
-    listed = [*entries(6), Endpoint(sid(90), server_kind=1)]
+    listed = [*entries(6), Endpoint(server_id(90), server_kind=1)]
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
     requests = [send_request(proxy, 5) for _ in range(3)]
     cache = server_of(proxy, requests[0])
-    assert cache != sid(90)
+    assert cache != server_id(90)
     for n in requests:
         proxy.end(n, 0, Outcome.MISS)
-    assert [server for _, server in proxy.sends].count(sid(90)) == 1
+    assert [server for _, server in proxy.sends].count(server_id(90)) == 1
     proxy.end(requests[0], 1, Outcome.OK, 80)
     assert server_of(proxy, requests[1], 1) == cache and server_of(proxy, requests[2], 1) == cache
 
@@ -181,7 +181,7 @@
     for change in ("started again", "removed and listed again"):
         conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
         proxy = Proxy(Balancer(conf, 1, 0.0), conf)
-        listed = [*entries(6), Endpoint(sid(90), server_kind=1)]
+        listed = [*entries(6), Endpoint(server_id(90), server_kind=1)]
         proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
         requests = [send_request(proxy, 5) for _ in range(2)]
         for n in requests:
@@ -190,23 +190,25 @@
         if change == "started again":
             started_at = 1.0
         else:
-            removed = [Endpoint(sid(90), EndpointState.GONE, server_kind=1)]
+            removed = [Endpoint(server_id(90), EndpointState.GONE, server_kind=1)]
             proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, removed))
-        again = [Endpoint(sid(90), server_kind=1, started_at=started_at)]
+        again = [Endpoint(server_id(90), server_kind=1, started_at=started_at)]
         proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 3, again))
         proxy.end(requests[0], 1, Outcome.OK, 80)
         assert len(proxy.seen[requests[1]].tries) == 2, change
         later = send_request(proxy, 5)
         proxy.end(later, 0, Outcome.MISS)
-        assert server_of(proxy, later, 1) == sid(90), change
+        assert server_of(proxy, later, 1) == server_id(90), change
 
 
 def test_cache_aside_writes_go_to_the_origin_and_the_origin_owns_no_slot() -> None:
     conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
-    proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, [*entries(6), Endpoint(sid(90), server_kind=1)]))
-    assert server_of(proxy, send_request(proxy, 5, is_write=True)) == sid(90)
-    assert all(server_of(proxy, send_request(proxy, key)) != sid(90) for key in range(1, 60))
+    proxy.feed(
+        EndpointUpdate(EndpointUpdateKind.CACHED, 1, [*entries(6), Endpoint(server_id(90), server_kind=1)])
+    )
+    assert server_of(proxy, send_request(proxy, 5, is_write=True)) == server_id(90)
+    assert all(server_of(proxy, send_request(proxy, key)) != server_id(90) for key in range(1, 60))
 
 
 def test_cache_aside_a_hop_gets_less_than_the_objective_as_a_miss_takes_two_hops() -> None:
@@ -242,7 +244,7 @@
     send_request(proxy, 5)  # the list is empty
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(6)))
     proxy.end(send_request(proxy, 5), 0, Outcome.MISS)  # there is no origin
-    proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(sid(90), server_kind=1)]))
+    proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(server_id(90), server_kind=1)]))
     proxy.end(send_request(proxy, 5, is_write=True), 0, Outcome.ERROR)
     requests = [send_request(proxy, 6) for _ in range(2)]
     for n in requests:
@@ -259,10 +261,10 @@
 
 def test_a_stale_delta_does_not_add_a_removed_server() -> None:
     proxy = create_proxy(3)
-    proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 5, [Endpoint(sid(0), EndpointState.GONE)]))
-    proxy.balancer.handle(EndpointUpdate(EndpointUpdateKind.DELTA, 4, [Endpoint(sid(0))]), proxy.now)
+    proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 5, [Endpoint(server_id(0), EndpointState.GONE)]))
+    proxy.balancer.handle(EndpointUpdate(EndpointUpdateKind.DELTA, 4, [Endpoint(server_id(0))]), proxy.now)
     for key in range(1, 60):
-        assert serve(proxy, key) != sid(0)
+        assert serve(proxy, key) != server_id(0)
 
 
 def test_the_list_is_polled_with_a_growing_delay_after_failures() -> None:
--- a/tests/balancing/test_balancer_rules.py
+++ b/tests/balancing/test_balancer_rules.py
@@ -27,7 +27,7 @@
 from lupinladder.balancing.server import Server
 from lupinladder.balancing.settings import RetrySafety, Settings
 from tests.support import balancer_harness
-from tests.support.balancer_harness import Proxy, entries, sid
+from tests.support.balancer_harness import Proxy, entries, server_id
 
 SEEDED = settings(derandomize=True, deadline=None, max_examples=30)
 OUTCOMES = list(Outcome)
@@ -39,7 +39,9 @@
     conf = balancer_harness.settings(**config)
     proxy = Proxy(Balancer(conf, seed, 0.0), conf)
     server_kinds = {0: 0, 1: 1} if conf.cache_aside else {}
-    listed = [Endpoint(sid(i), zone=i % 2, cell=i % 3, server_kind=server_kinds.get(i, 0)) for i in range(8)]
+    listed = [
+        Endpoint(server_id(i), zone=i % 2, cell=i % 3, server_kind=server_kinds.get(i, 0)) for i in range(8)
+    ]
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
     for n in range(400):
         proxy.advance(proxy.now + rng.choice([0, 1, 5, 40]))
@@ -57,7 +59,7 @@
         else:
             i = rng.randrange(9)
             changed = Endpoint(
-                sid(i),
+                server_id(i),
                 rng.choice(list(EndpointState)),
                 zone=i % 2,
                 cell=i % 3,
@@ -173,7 +175,7 @@
         proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(6)))
     service_ms, highest_share, now = 40.0, 0.0, 0.0
     scheduled_ends: list[tuple[float, Proxy, int]] = []
-    added = [sid(i) for i in range(20, 23)]
+    added = [server_id(i) for i in range(20, 23)]
     n = 0
     added_at = 4000 + idle_ms
     request_chance = 0.25  # 125 per second over six warm servers that handle 25 each
--- a/tests/balancing/test_slot_table.py
+++ b/tests/balancing/test_slot_table.py
@@ -10,11 +10,11 @@
 from lupinladder.balancing.slot_load import SLOT_COUNT
 from lupinladder.balancing.slot_table import POINTS_PER_SERVER, SlotTable
 from lupinladder.balancing.weight_scale import MAX_SERVERS_FOR_MEAN_UNIT
-from tests.support.balancer_harness import sid
+from tests.support.balancer_harness import server_id
 
 
 def servers(ids: list[int]) -> list[Server]:
-    return [Server(Endpoint(sid(i)), ConcurrencyLimiter(0, 500, 1, False), 0, False) for i in ids]
+    return [Server(Endpoint(server_id(i)), ConcurrencyLimiter(0, 500, 1, False), 0, False) for i in ids]
 
 
 def create_table(fleet: list[Server]) -> SlotTable:
@@ -42,21 +42,21 @@
     first = owner_map(ids)
     random.Random(1).shuffle(ids)
     assert owner_map(ids) == first and len(first) == SLOT_COUNT
-    counts = [list(first.values()).count(sid(i)) for i in range(30)]
+    counts = [list(first.values()).count(server_id(i)) for i in range(30)]
     assert min(counts) > 0.4 * SLOT_COUNT / 30 and max(counts) < 2 * SLOT_COUNT / 30
 
 
 def test_an_added_server_moves_only_the_slots_that_it_takes() -> None:
     before, after = owner_map(list(range(30))), owner_map(list(range(31)))
     moved = {slot for slot in before if before[slot] != after[slot]}
-    assert moved and all(after[slot] == sid(30) for slot in moved)
+    assert moved and all(after[slot] == server_id(30) for slot in moved)
     assert len(moved) < 2 * SLOT_COUNT / 31
 
 
 def test_the_slots_of_a_removed_server_go_to_their_next_owners_on_many_servers() -> None:
     slots = create_table(servers(list(range(30))))
     next_owners = {
-        s: slots.owners(s)[1][0].id for s in range(SLOT_COUNT) if slots.owners(s)[0][0].id == sid(7)
+        s: slots.owners(s)[1][0].id for s in range(SLOT_COUNT) if slots.owners(s)[0][0].id == server_id(7)
     }
     after = owner_map([i for i in range(30) if i != 7])
     assert all(after[slot] == owner for slot, owner in next_owners.items())
--- a/tests/balancing/test_work_by_size.py
+++ b/tests/balancing/test_work_by_size.py
@@ -27,7 +27,7 @@
 from lupinladder.balancing.hashing import HASH_MASK, splitmix64, splitmix64_series
 from lupinladder.balancing.slot_load import SLOT_COUNT
 from lupinladder.balancing.slot_table import POINTS_PER_SERVER, SlotTable
-from tests.support.balancer_harness import entries, settings, sid
+from tests.support.balancer_harness import entries, server_id, settings
 from tests.support.large_lists import LARGE_FLEET
 
 
@@ -69,7 +69,7 @@
     for count in (200, LARGE_FLEET):
         hashes = CountedHashes()
         balancer = create_balancer(count, hashes)
-        addition = EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(sid(count + 1))])
+        addition = EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(server_id(count + 1))])
         assert hashes.count_during(lambda: balancer.handle(addition, 1.0)) <= POINTS_PER_SERVER  # noqa: B023
 
 
@@ -88,7 +88,7 @@
 def test_each_step_of_a_large_change_hashes_a_bounded_number_of_points() -> None:
     hashes = CountedHashes()
     balancer = create_balancer(LARGE_FLEET, hashes)
-    others = [Endpoint(sid(LARGE_FLEET + number)) for number in range(LARGE_FLEET)]
+    others = [Endpoint(server_id(LARGE_FLEET + number)) for number in range(LARGE_FLEET)]
     tokens = list[int]()
     event: Event = EndpointUpdate(EndpointUpdateKind.DIFFERENCE, 2, others)
     steps = 0
@@ -139,8 +139,8 @@
 def endpoint(number: int, quarters: int) -> Endpoint:
     """The entry of a server with this weight in quarters, or of a server that is gone."""
     if not quarters:
-        return Endpoint(sid(number), EndpointState.GONE)
-    return Endpoint(sid(number), weight=quarters / 4)
+        return Endpoint(server_id(number), EndpointState.GONE)
+    return Endpoint(server_id(number), weight=quarters / 4)
 
 
 def owner_ids(balancer: Balancer, slot: int) -> list[bytes]:
@@ -152,7 +152,7 @@
     waiting = 3 * RESUMED_PER_STEP
     balancer = Balancer(settings(cache_aside=True, origin_kind=1), 1, 0.0)
     balancer.start(0.0)
-    origin = Endpoint(sid(900), server_kind=1)
+    origin = Endpoint(server_id(900), server_kind=1)
     balancer.handle(EndpointUpdate(EndpointUpdateKind.FULL, 1, [*entries(3), origin]), 0.0)
     for number in range(waiting + 1):
         balancer.handle(RequestReceived(number, 0, 1500.0, key=7), 1.0)
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -31,12 +31,12 @@
 NOT_EXECUTED = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED, Outcome.MISS}
 
 
-def sid(n: int) -> bytes:
+def server_id(n: int) -> bytes:
     return (n * 2654435761 % 2**32).to_bytes(4, "big") + n.to_bytes(2, "big")
 
 
 def entries(n: int, **overrides: object) -> list[Endpoint]:
-    return [Endpoint(sid(i), zone=i % 2, cell=i % 3, **overrides) for i in range(n)]  # type: ignore[arg-type]
+    return [Endpoint(server_id(i), zone=i % 2, cell=i % 3, **overrides) for i in range(n)]  # type: ignore[arg-type]
 
 
 def classes() -> list[RequestClass]:
