--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -29,13 +29,13 @@
 
 def send_request(proxy: Proxy, key: int, **more: object) -> int:
     """Send an idempotent request; returns its id."""
-    n = len(proxy.seen) + 1
+    n = len(proxy.requests) + 1
     proxy.feed(RequestReceived(n, 0, 1500, key, **more))  # type: ignore[arg-type]
     return n
 
 
 def server_of(proxy: Proxy, request: int, attempt: int = 0) -> bytes:
-    return proxy.seen[request].tries[attempt][0]
+    return proxy.requests[request].tries[attempt][0]
 
 
 def serve(
@@ -43,7 +43,7 @@
 ) -> bytes | None:
     """Send a request and answer it; returns its first server, or None if it was rejected."""
     n = send_request(proxy, key)
-    if not proxy.seen[n].tries:
+    if not proxy.requests[n].tries:
         return None
     proxy.now += latency
     proxy.feed(AttemptEnded(n, 0, Outcome.OK, latency, True, cache_result))
@@ -68,7 +68,7 @@
     for _ in range(12):
         n = send_request(proxy, 7)
         for attempt in range(4):
-            if len(proxy.seen[n].tries) <= attempt:
+            if len(proxy.requests[n].tries) <= attempt:
                 break
             outcome = Outcome.ERROR if server_of(proxy, n, attempt) == failing else Outcome.OK
             proxy.now += 3
@@ -101,7 +101,7 @@
             if server_of(proxy, n) == owner and received % every == 0:
                 proxy.end(n, 0, Outcome.REJECTED)
                 assert server_of(proxy, n, 1) != owner  # it was not executed, so the next owner gets it
-            proxy.end(n, len(proxy.seen[n].tries) - 1, Outcome.OK, 50)
+            proxy.end(n, len(proxy.requests[n].tries) - 1, Outcome.OK, 50)
 
     limit = limiter.max_concurrency
     reject(every=2)
@@ -115,9 +115,9 @@
     warm_up(proxy)
     for key in range(1, 400):
         n = send_request(proxy, key)
-        while None in proxy.seen[n].outcomes:
+        while None in proxy.requests[n].outcomes:
             proxy.now += 3
-            proxy.end(n, len(proxy.seen[n].tries) - 1, Outcome.ERROR)
+            proxy.end(n, len(proxy.requests[n].tries) - 1, Outcome.ERROR)
     assert sum(s.ejected_until > proxy.now for s in proxy.balancer.members.values()) <= 4
     assert serve(proxy, 1) is not None
 
@@ -129,9 +129,9 @@
     outstanding = 0
     for _ in range(60):
         n = send_request(proxy, 7)
-        if proxy.seen[n].tries and server_of(proxy, n) == hung:
+        if proxy.requests[n].tries and server_of(proxy, n) == hung:
             outstanding += 1
-        elif proxy.seen[n].tries:
+        elif proxy.requests[n].tries:
             proxy.end(n, 0, Outcome.OK, 50)
     assert outstanding < 40  # the rest went to the next owner
     proxy.advance(proxy.now + 1500)  # all attempts time out
@@ -147,16 +147,16 @@
     warm_up(proxy)
     for key in range(1000, 1060):
         n = send_request(proxy, key)
-        if proxy.seen[n].tries:
+        if proxy.requests[n].tries:
             proxy.now += 20
             proxy.feed(AttemptEnded(n, 0, Outcome.OK, 900.0, True, CacheResult.MISS))
     for key in range(2000, 2010):
         n = send_request(proxy, key)
-        if proxy.seen[n].tries:
+        if proxy.requests[n].tries:
             proxy.now += 900
             proxy.feed(AttemptEnded(n, 0, Outcome.ERROR, 900.0, False, CacheResult.MISS))
-    assert len(proxy.seen[n].tries) <= 1  # a failed fetch is not retried on another server
-    rejected = sum(not proxy.seen[send_request(proxy, key)].tries for key in range(3000, 3040))
+    assert len(proxy.requests[n].tries) <= 1  # a failed fetch is not retried on another server
+    rejected = sum(not proxy.requests[send_request(proxy, key)].tries for key in range(3000, 3040))
     assert rejected > 30  # a further fetch would only join the queue
     assert all(serve(proxy, key) is not None for key in range(1, 100))  # hits are still sent
     assert not any("ejected for" in note for note in proxy.notes)
@@ -167,14 +167,14 @@
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     listed = [*entries(6), Endpoint(server_id(90), server_kind=1)]
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
-    requests = [send_request(proxy, 5) for _ in range(3)]
-    cache = server_of(proxy, requests[0])
+    request_ids = [send_request(proxy, 5) for _ in range(3)]
+    cache = server_of(proxy, request_ids[0])
     assert cache != server_id(90)
-    for n in requests:
+    for n in request_ids:
         proxy.end(n, 0, Outcome.MISS)
     assert [server for _, server in proxy.sends].count(server_id(90)) == 1
-    proxy.end(requests[0], 1, Outcome.OK, 80)
-    assert server_of(proxy, requests[1], 1) == cache and server_of(proxy, requests[2], 1) == cache
+    proxy.end(request_ids[0], 1, Outcome.OK, 80)
+    assert server_of(proxy, request_ids[1], 1) == cache and server_of(proxy, request_ids[2], 1) == cache
 
 
 def test_cache_aside_waiting_requests_are_served_if_the_origin_is_listed_again_during_the_fetch() -> None:
@@ -183,8 +183,8 @@
         proxy = Proxy(Balancer(conf, 1, 0.0), conf)
         listed = [*entries(6), Endpoint(server_id(90), server_kind=1)]
         proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
-        requests = [send_request(proxy, 5) for _ in range(2)]
-        for n in requests:
+        request_ids = [send_request(proxy, 5) for _ in range(2)]
+        for n in request_ids:
             proxy.end(n, 0, Outcome.MISS)
         started_at = 0.0
         if change == "started again":
@@ -194,8 +194,8 @@
             proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, removed))
         again = [Endpoint(server_id(90), server_kind=1, started_at=started_at)]
         proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 3, again))
-        proxy.end(requests[0], 1, Outcome.OK, 80)
-        assert len(proxy.seen[requests[1]].tries) == 2, change
+        proxy.end(request_ids[0], 1, Outcome.OK, 80)
+        assert len(proxy.requests[request_ids[1]].tries) == 2, change
         later = send_request(proxy, 5)
         proxy.end(later, 0, Outcome.MISS)
         assert server_of(proxy, later, 1) == server_id(90), change
@@ -224,10 +224,10 @@
 
 def test_an_empty_pool_and_a_draining_pool_reject_at_once() -> None:
     proxy = create_proxy(0)
-    assert not proxy.seen[send_request(proxy, 1)].tries and proxy.seen[1].answered
+    assert not proxy.requests[send_request(proxy, 1)].tries and proxy.requests[1].answered
     draining = create_proxy(0)
     draining.feed(EndpointUpdate(EndpointUpdateKind.FULL, 2, entries(3, state=EndpointState.DRAINING)))
-    assert not draining.seen[send_request(draining, 1)].tries and draining.seen[1].answered
+    assert not draining.requests[send_request(draining, 1)].tries and draining.requests[1].answered
 
 
 def test_each_rejection_and_failure_has_its_reason() -> None:
@@ -246,8 +246,8 @@
     proxy.end(send_request(proxy, 5), 0, Outcome.MISS)  # there is no origin
     proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 2, [Endpoint(server_id(90), server_kind=1)]))
     proxy.end(send_request(proxy, 5, is_write=True), 0, Outcome.ERROR)
-    requests = [send_request(proxy, 6) for _ in range(2)]
-    for n in requests:
+    request_ids = [send_request(proxy, 6) for _ in range(2)]
+    for n in request_ids:
         proxy.end(n, 0, Outcome.MISS)
     proxy.advance(proxy.now + 5000)  # the fetch and the request that waits for it time out
     assert reasons == [
@@ -324,8 +324,10 @@
         proxy.now += 2
         send_request(proxy, 7, tenant=0)
     assert limit.inflight == 7
-    assert not proxy.seen[send_request(proxy, 7, tenant=0)].tries
-    assert proxy.seen[send_request(proxy, 7, tenant=1)].tries  # room remains for a tenant within its quota
+    assert not proxy.requests[send_request(proxy, 7, tenant=0)].tries
+    assert proxy.requests[
+        send_request(proxy, 7, tenant=1)
+    ].tries  # room remains for a tenant within its quota
 
 
 def test_slots_move_away_from_an_overloaded_server_and_return() -> None:
@@ -335,9 +337,9 @@
     server = proxy.balancer.members[slow or b""]
     for key in range(1, 600):
         n = send_request(proxy, key)
-        late = bool(proxy.seen[n].tries) and server_of(proxy, n) == slow
+        late = bool(proxy.requests[n].tries) and server_of(proxy, n) == slow
         proxy.now += 30
-        if proxy.seen[n].tries:
+        if proxy.requests[n].tries:
             proxy.feed(AttemptEnded(n, 0, Outcome.OK, 900.0 if late else 50.0, True, CacheResult.HIT))
     assert 0.25 <= server.slot_share < 1  # bounded: it keeps at least a quarter of its slots
     others = [s.slot_share for s in proxy.balancer.members.values() if s is not server]
--- a/tests/balancing/test_balancer_rules.py
+++ b/tests/balancing/test_balancer_rules.py
@@ -53,8 +53,8 @@
         elif event_choice < 0.94 and proxy.out():
             request_id, attempt = rng.choice(proxy.out())
             proxy.end(request_id, attempt, rng.choice(OUTCOMES))
-        elif event_choice < 0.95 and proxy.seen:
-            request_id = rng.choice(list(proxy.seen))
+        elif event_choice < 0.95 and proxy.requests:
+            request_id = rng.choice(list(proxy.requests))
             proxy.feed(ClientDisconnected(request_id))
         else:
             i = rng.randrange(9)
@@ -68,7 +68,7 @@
             )
             proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, n + 2, [changed]))
     proxy.advance(proxy.now + 5000)
-    unanswered = [i for i, request in proxy.seen.items() if not request.answered]
+    unanswered = [i for i, request in proxy.requests.items() if not request.answered]
     assert not unanswered, f"requests without an answer: {unanswered}"
     assert not proxy.balancer.open_requests, "requests still open after their end"
     return proxy
@@ -183,7 +183,7 @@
         now += 2
         for at, proxy, request_id in [e for e in scheduled_ends if e[0] <= now]:
             proxy.now = now
-            proxy.end(request_id, len(proxy.seen[request_id].tries) - 1, Outcome.OK, service_ms)
+            proxy.end(request_id, len(proxy.requests[request_id].tries) - 1, Outcome.OK, service_ms)
             scheduled_ends.remove((at, proxy, request_id))
         if now == 4000:
             now = added_at
@@ -196,7 +196,7 @@
             proxy, n = rng.choice(proxies), n + 1
             proxy.now = now
             proxy.feed(RequestReceived(n, 0, 1500, rng.randrange(1, 400)))
-            if proxy.seen[n].tries:
+            if proxy.requests[n].tries:
                 scheduled_ends.append((now + service_ms, proxy, n))
     for server in added:
         times = sorted(at for proxy in proxies for at, to in proxy.sends if to == server)
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -65,7 +65,7 @@
 
 
 @dataclass
-class Seen:
+class SeenRequest:
     """A request and its attempts, as recorded by the harness."""
 
     request: RequestReceived
@@ -82,7 +82,7 @@
         self.balancer = balancer
         self.config = config
         self.now = now
-        self.seen: dict[int, Seen] = {}
+        self.requests: dict[int, SeenRequest] = {}
         self.timers: list[tuple[float, int]] = []
         self.known_endpoints: dict[bytes, Endpoint] = {}
         self.sends: list[tuple[float, bytes]] = []
@@ -110,12 +110,12 @@
                     endpoint.cell,
                     endpoint.server_kind,
                 )
-        if isinstance(event, RequestReceived) and event.request_id not in self.seen:
-            self.seen[event.request_id] = Seen(event, self.now + event.timeout)
+        if isinstance(event, RequestReceived) and event.request_id not in self.requests:
+            self.requests[event.request_id] = SeenRequest(event, self.now + event.timeout)
         if isinstance(event, ClientDisconnected):
-            self.seen[event.request_id].answered = True
+            self.requests[event.request_id].answered = True
         if isinstance(event, AttemptEnded):
-            seen_request = self.seen[event.request_id]
+            seen_request = self.requests[event.request_id]
             seen_request.outcomes[event.attempt] = event.outcome
             seen_request.answered = seen_request.answered or event.request_finished
         actions = self.balancer.handle(event, self.now)
@@ -131,11 +131,11 @@
             elif isinstance(action, LogMessage):
                 self.notes.append(action.text)
             elif isinstance(action, StartAttempt):
-                self.check_attempt(self.seen[action.request_id], action.server)
+                self.check_attempt(self.requests[action.request_id], action.server)
             elif isinstance(action, Reject | Fail):
-                self.check_answer(self.seen[action.request_id], isinstance(action, Reject))
+                self.check_answer(self.requests[action.request_id], isinstance(action, Reject))
 
-    def check_attempt(self, seen_request: Seen, server: bytes) -> None:
+    def check_attempt(self, seen_request: SeenRequest, server: bytes) -> None:
         class_settings = self.config.classes[seen_request.request.request_class]
         assert not seen_request.answered, "a request was sent after its final answer"
         assert self.now < seen_request.deadline, "a request was sent after its deadline"
@@ -170,7 +170,7 @@
         seen_request.outcomes.append(None)
         self.sends.append((self.now, server))
 
-    def check_answer(self, seen_request: Seen, rejected: bool) -> None:
+    def check_answer(self, seen_request: SeenRequest, rejected: bool) -> None:
         class_settings = self.config.classes[seen_request.request.request_class]
         assert not seen_request.answered, "a request was answered twice"
         assert self.now <= seen_request.deadline + 20, "a request was answered too late"
@@ -188,7 +188,7 @@
 
     def end(self, request_id: int, attempt: int, outcome: Outcome, latency: float | None = None) -> None:
         """End an attempt at the current time."""
-        seen_request = self.seen[request_id]
+        seen_request = self.requests[request_id]
         duration = self.now - seen_request.tries[attempt][1] if latency is None else latency
         finished = seen_request.answered or outcome is Outcome.OK
         self.feed(AttemptEnded(request_id, attempt, outcome, duration, finished))
@@ -197,7 +197,7 @@
         """Advance the time: timers fire, and attempts time out at the deadline of their request."""
         while True:
             due = [(at, 0, token, 0) for at, token in self.timers if at <= until]
-            for seen_request in self.seen.values():
+            for seen_request in self.requests.values():
                 for n, outcome in enumerate(seen_request.outcomes):
                     if outcome is None and seen_request.deadline <= until:
                         due.append((seen_request.deadline, 1, seen_request.request.request_id, n))
@@ -216,7 +216,7 @@
         """Return (request id, attempt number) of all attempts in flight."""
         return [
             (i, n)
-            for i, seen_request in self.seen.items()
+            for i, seen_request in self.requests.items()
             for n, o in enumerate(seen_request.outcomes)
             if o is None
         ]
