--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -35,7 +35,7 @@
 
 
 def server_of(proxy: Proxy, request: int, attempt: int = 0) -> bytes:
-    return proxy.requests[request].tries[attempt][0]
+    return proxy.requests[request].attempts[attempt][0]
 
 
 def serve(
@@ -43,7 +43,7 @@
 ) -> bytes | None:
     """Send a request and answer it; returns its first server, or None if it was rejected."""
     n = send_request(proxy, key)
-    if not proxy.requests[n].tries:
+    if not proxy.requests[n].attempts:
         return None
     proxy.now += latency
     proxy.feed(AttemptEnded(n, 0, Outcome.OK, latency, True, cache_result))
@@ -68,7 +68,7 @@
     for _ in range(12):
         n = send_request(proxy, 7)
         for attempt in range(4):
-            if len(proxy.requests[n].tries) <= attempt:
+            if len(proxy.requests[n].attempts) <= attempt:
                 break
             outcome = Outcome.ERROR if server_of(proxy, n, attempt) == failing else Outcome.OK
             proxy.now += 3
@@ -101,7 +101,7 @@
             if server_of(proxy, n) == owner and received % every == 0:
                 proxy.end(n, 0, Outcome.REJECTED)
                 assert server_of(proxy, n, 1) != owner  # it was not executed, so the next owner gets it
-            proxy.end(n, len(proxy.requests[n].tries) - 1, Outcome.OK, 50)
+            proxy.end(n, len(proxy.requests[n].attempts) - 1, Outcome.OK, 50)
 
     limit = limiter.max_concurrency
     reject(every=2)
@@ -117,7 +117,7 @@
         n = send_request(proxy, key)
         while None in proxy.requests[n].outcomes:
             proxy.now += 3
-            proxy.end(n, len(proxy.requests[n].tries) - 1, Outcome.ERROR)
+            proxy.end(n, len(proxy.requests[n].attempts) - 1, Outcome.ERROR)
     assert sum(s.ejected_until > proxy.now for s in proxy.balancer.members.values()) <= 4
     assert serve(proxy, 1) is not None
 
@@ -129,9 +129,9 @@
     outstanding = 0
     for _ in range(60):
         n = send_request(proxy, 7)
-        if proxy.requests[n].tries and server_of(proxy, n) == hung:
+        if proxy.requests[n].attempts and server_of(proxy, n) == hung:
             outstanding += 1
-        elif proxy.requests[n].tries:
+        elif proxy.requests[n].attempts:
             proxy.end(n, 0, Outcome.OK, 50)
     assert outstanding < 40  # the rest went to the next owner
     proxy.advance(proxy.now + 1500)  # all attempts time out
@@ -147,16 +147,16 @@
     warm_up(proxy)
     for key in range(1000, 1060):
         n = send_request(proxy, key)
-        if proxy.requests[n].tries:
+        if proxy.requests[n].attempts:
             proxy.now += 20
             proxy.feed(AttemptEnded(n, 0, Outcome.OK, 900.0, True, CacheResult.MISS))
     for key in range(2000, 2010):
         n = send_request(proxy, key)
-        if proxy.requests[n].tries:
+        if proxy.requests[n].attempts:
             proxy.now += 900
             proxy.feed(AttemptEnded(n, 0, Outcome.ERROR, 900.0, False, CacheResult.MISS))
-    assert len(proxy.requests[n].tries) <= 1  # a failed fetch is not retried on another server
-    rejected = sum(not proxy.requests[send_request(proxy, key)].tries for key in range(3000, 3040))
+    assert len(proxy.requests[n].attempts) <= 1  # a failed fetch is not retried on another server
+    rejected = sum(not proxy.requests[send_request(proxy, key)].attempts for key in range(3000, 3040))
     assert rejected > 30  # a further fetch would only join the queue
     assert all(serve(proxy, key) is not None for key in range(1, 100))  # hits are still sent
     assert not any("ejected for" in note for note in proxy.notes)
@@ -195,7 +195,7 @@
         again = [Endpoint(server_id(90), server_kind=1, started_at=started_at)]
         proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, 3, again))
         proxy.end(request_ids[0], 1, Outcome.OK, 80)
-        assert len(proxy.requests[request_ids[1]].tries) == 2, change
+        assert len(proxy.requests[request_ids[1]].attempts) == 2, change
         later = send_request(proxy, 5)
         proxy.end(later, 0, Outcome.MISS)
         assert server_of(proxy, later, 1) == server_id(90), change
@@ -224,10 +224,10 @@
 
 def test_an_empty_pool_and_a_draining_pool_reject_at_once() -> None:
     proxy = create_proxy(0)
-    assert not proxy.requests[send_request(proxy, 1)].tries and proxy.requests[1].answered
+    assert not proxy.requests[send_request(proxy, 1)].attempts and proxy.requests[1].answered
     draining = create_proxy(0)
     draining.feed(EndpointUpdate(EndpointUpdateKind.FULL, 2, entries(3, state=EndpointState.DRAINING)))
-    assert not draining.requests[send_request(draining, 1)].tries and draining.requests[1].answered
+    assert not draining.requests[send_request(draining, 1)].attempts and draining.requests[1].answered
 
 
 def test_each_rejection_and_failure_has_its_reason() -> None:
@@ -324,10 +324,10 @@
         proxy.now += 2
         send_request(proxy, 7, tenant=0)
     assert limit.inflight == 7
-    assert not proxy.requests[send_request(proxy, 7, tenant=0)].tries
+    assert not proxy.requests[send_request(proxy, 7, tenant=0)].attempts
     assert proxy.requests[
         send_request(proxy, 7, tenant=1)
-    ].tries  # room remains for a tenant within its quota
+    ].attempts  # room remains for a tenant within its quota
 
 
 def test_slots_move_away_from_an_overloaded_server_and_return() -> None:
@@ -337,9 +337,9 @@
     server = proxy.balancer.members[slow or b""]
     for key in range(1, 600):
         n = send_request(proxy, key)
-        late = bool(proxy.requests[n].tries) and server_of(proxy, n) == slow
+        late = bool(proxy.requests[n].attempts) and server_of(proxy, n) == slow
         proxy.now += 30
-        if proxy.requests[n].tries:
+        if proxy.requests[n].attempts:
             proxy.feed(AttemptEnded(n, 0, Outcome.OK, 900.0 if late else 50.0, True, CacheResult.HIT))
     assert 0.25 <= server.slot_share < 1  # bounded: it keeps at least a quarter of its slots
     others = [s.slot_share for s in proxy.balancer.members.values() if s is not server]
--- a/tests/balancing/test_balancer_rules.py
+++ b/tests/balancing/test_balancer_rules.py
@@ -183,7 +183,7 @@
         now += 2
         for at, proxy, request_id in [e for e in scheduled_ends if e[0] <= now]:
             proxy.now = now
-            proxy.end(request_id, len(proxy.requests[request_id].tries) - 1, Outcome.OK, service_ms)
+            proxy.end(request_id, len(proxy.requests[request_id].attempts) - 1, Outcome.OK, service_ms)
             scheduled_ends.remove((at, proxy, request_id))
         if now == 4000:
             now = added_at
@@ -196,7 +196,7 @@
             proxy, n = rng.choice(proxies), n + 1
             proxy.now = now
             proxy.feed(RequestReceived(n, 0, 1500, rng.randrange(1, 400)))
-            if proxy.requests[n].tries:
+            if proxy.requests[n].attempts:
                 scheduled_ends.append((now + service_ms, proxy, n))
     for server in added:
         times = sorted(at for proxy in proxies for at, to in proxy.sends if to == server)
--- a/tests/balancing/test_many_balancers.py
+++ b/tests/balancing/test_many_balancers.py
@@ -35,7 +35,7 @@
     proxy.feed(RequestReceived(number, 0, 1500.0, key=1))
     proxy.now += 20
     proxy.feed(AttemptEnded(number, 0, Outcome.OK, 20.0, True, CacheResult.HIT, load))
-    return proxy.requests[number].tries[0][0]
+    return proxy.requests[number].attempts[0][0]
 
 
 class ProbeRate(TestCase):
@@ -71,11 +71,11 @@
                     proxy.advance(proxy.now + interval)
                     number += 1
                     proxy.feed(RequestReceived(number, 0, 700.0, key=number, is_write=True))
-                    if proxy.requests[number].tries and not outage_start - 100 < proxy.now < outage_end:
+                    if proxy.requests[number].attempts and not outage_start - 100 < proxy.now < outage_end:
                         proxy.now += 100
                         proxy.end(number, 0, Outcome.OK)
                         recovery_time = proxy.now - outage_end if proxy.now > outage_end else 0.0
-                    elif proxy.requests[number].tries:
+                    elif proxy.requests[number].attempts:
                         lost_count += 1
                 self.assertLess(lost_count, 3 + 6000 / interval / 2)
                 self.assertLess(recovery_time, 2000 + 8 * interval)
@@ -104,7 +104,7 @@
             for server in owners[:closed]:  # as during the drain of a retest, or with a limit below one
                 server.limiter.next_send_at = proxy.now + 1000
             proxy.feed(RequestReceived(1, 0, 1500.0, key=1))
-            self.assertEqual([to for to, _ in proxy.requests[1].tries], [owners[closed].id][:sent])
+            self.assertEqual([to for to, _ in proxy.requests[1].attempts], [owners[closed].id][:sent])
 
 
 class OriginFetches(TestCase):
@@ -121,7 +121,7 @@
             proxy.now += 10
             proxy.feed(RequestReceived(2, 0, 1500.0, key=2, is_write=True))
             self.assertEqual(
-                [to for to, _ in proxy.requests[2].tries], [] if closed else [b"origin"], remaining
+                [to for to, _ in proxy.requests[2].attempts], [] if closed else [b"origin"], remaining
             )
 
 
@@ -151,7 +151,7 @@
             with self.subTest(name):
                 proxy = create_proxy(balancer_count=200)
                 proxy.feed(RequestReceived(1, 0, 1500.0, key=1))
-                first = proxy.requests[1].tries[0][0]
+                first = proxy.requests[1].attempts[0][0]
                 proxy.now += latency
                 proxy.feed(AttemptEnded(1, 0, outcome, latency, True, CacheResult.HIT, load))
                 # A balancer sends to a server about every ten seconds; the signal lasts half of 40 s or more.
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -70,7 +70,7 @@
 
     request: RequestReceived
     deadline: float
-    tries: list[tuple[bytes, float]] = field(default_factory=list)
+    attempts: list[tuple[bytes, float]] = field(default_factory=list)
     outcomes: list[Outcome | None] = field(default_factory=list)
     answered: bool = False
 
@@ -139,14 +139,16 @@
         class_settings = self.config.classes[seen_request.request.request_class]
         assert not seen_request.answered, "a request was sent after its final answer"
         assert self.now < seen_request.deadline, "a request was sent after its deadline"
-        assert len(seen_request.tries) < self.config.max_attempts, "more attempts than allowed"
+        assert len(seen_request.attempts) < self.config.max_attempts, "more attempts than allowed"
         assert self.known_endpoints[server].state is EndpointState.READY, (
             "the server of an attempt is not ready"
         )
         if not self.config.may_duplicate:
             assert None not in seen_request.outcomes, "a request has two attempts in flight"
         executed = [
-            t for t, o in zip(seen_request.tries, seen_request.outcomes, strict=True) if o not in NOT_EXECUTED
+            t
+            for t, o in zip(seen_request.attempts, seen_request.outcomes, strict=True)
+            if o not in NOT_EXECUTED
         ]
         if executed and class_settings.retry_safety is RetrySafety.NON_IDEMPOTENT:
             text = "a non-idempotent request was retried although it may have run"
@@ -166,7 +168,7 @@
                     class_settings.deduplication_scope is not DeduplicationScope.CELL
                     or earlier_endpoint.cell == endpoint.cell
                 ), "a request was retried outside its cell"
-        seen_request.tries.append((server, self.now))
+        seen_request.attempts.append((server, self.now))
         seen_request.outcomes.append(None)
         self.sends.append((self.now, server))
 
@@ -189,7 +191,7 @@
     def end(self, request_id: int, attempt: int, outcome: Outcome, latency: float | None = None) -> None:
         """End an attempt at the current time."""
         seen_request = self.requests[request_id]
-        duration = self.now - seen_request.tries[attempt][1] if latency is None else latency
+        duration = self.now - seen_request.attempts[attempt][1] if latency is None else latency
         finished = seen_request.answered or outcome is Outcome.OK
         self.feed(AttemptEnded(request_id, attempt, outcome, duration, finished))
 
