--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -75,7 +75,7 @@
             proxy.end(n, attempt, outcome)
             if outcome is Outcome.OK:
                 break
-    assert proxy.notes and failing is not None and failing.hex() in proxy.notes[0]
+    assert proxy.log_lines and failing is not None and failing.hex() in proxy.log_lines[0]
     assert serve(proxy, 7) not in (failing, None)  # its keys go to the next owner
     proxy.advance(proxy.now + 1500)
     n = send_request(proxy, 7)
@@ -159,7 +159,7 @@
     rejected = sum(not proxy.requests[send_request(proxy, key)].attempts for key in range(3000, 3040))
     assert rejected > 30  # a further fetch would only join the queue
     assert all(serve(proxy, key) is not None for key in range(1, 100))  # hits are still sent
-    assert not any("ejected for" in note for note in proxy.notes)
+    assert not any("ejected for" in note for note in proxy.log_lines)
 
 
 def test_cache_aside_concurrent_misses_wait_for_one_fetch() -> None:
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -86,7 +86,7 @@
         self.timers: list[tuple[float, int]] = []
         self.known_endpoints: dict[bytes, Endpoint] = {}
         self.sends: list[tuple[float, bytes]] = []
-        self.notes: list[str] = []
+        self.log_lines: list[str] = []
         self.follows = 0
         self.carry_out(balancer.start(now))
 
@@ -129,7 +129,7 @@
             elif isinstance(action, WatchEndpoints):
                 self.follows += 1
             elif isinstance(action, LogMessage):
-                self.notes.append(action.text)
+                self.log_lines.append(action.text)
             elif isinstance(action, StartAttempt):
                 self.check_attempt(self.requests[action.request_id], action.server)
             elif isinstance(action, Reject | Fail):
