--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -276,7 +276,7 @@
         poll_delays.append(at - proxy.now)
         proxy.advance(at)
         proxy.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
-    assert proxy.follows == 4 and 0 < poll_delays[0] < 2500
+    assert proxy.watch_count == 4 and 0 < poll_delays[0] < 2500
     assert poll_delays[3] > poll_delays[1] and max(poll_delays) < 10000
 
 
@@ -287,7 +287,7 @@
         proxy.feed(EndpointUpdate(EndpointUpdateKind.FAILED))
         proxy.advance(proxy.now + 10)
     proxy.advance(proxy.now + 10_000)
-    assert proxy.follows == 1
+    assert proxy.watch_count == 1
 
 
 def test_a_lost_list_is_polled_in_time_with_any_settings() -> None:
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -87,7 +87,7 @@
         self.known_endpoints: dict[bytes, Endpoint] = {}
         self.sends: list[tuple[float, bytes]] = []
         self.log_lines: list[str] = []
-        self.follows = 0
+        self.watch_count = 0
         self.carry_out(balancer.start(now))
 
     def feed(self, event: Event) -> list[Action]:
@@ -127,7 +127,7 @@
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
             elif isinstance(action, WatchEndpoints):
-                self.follows += 1
+                self.watch_count += 1
             elif isinstance(action, LogMessage):
                 self.log_lines.append(action.text)
             elif isinstance(action, StartAttempt):
