--- a/tests/balancing/test_balancer_rules.py
+++ b/tests/balancing/test_balancer_rules.py
@@ -50,8 +50,8 @@
             timeout = rng.choice([0, 30, 300, 1500])
             key, write = rng.randrange(6), rng.random() < 0.2
             proxy.feed(RequestReceived(n, rng.randrange(5), timeout, key, 0, write))
-        elif event_choice < 0.94 and proxy.out():
-            request_id, attempt = rng.choice(proxy.out())
+        elif event_choice < 0.94 and proxy.outstanding():
+            request_id, attempt = rng.choice(proxy.outstanding())
             proxy.end(request_id, attempt, rng.choice(OUTCOMES))
         elif event_choice < 0.95 and proxy.requests:
             request_id = rng.choice(list(proxy.requests))
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -214,7 +214,7 @@
                 self.end(number, n, Outcome.TIMEOUT)
         self.now = max(self.now, until)
 
-    def out(self) -> list[tuple[int, int]]:
+    def outstanding(self) -> list[tuple[int, int]]:
         """Return (request id, attempt number) of all attempts in flight."""
         return [
             (i, n)
