--- a/tests/balancing/test_balancer_failures.py
+++ b/tests/balancing/test_balancer_failures.py
@@ -234,13 +234,13 @@
     conf = balancer_harness.settings(cache_aside=True, origin_kind=1, max_attempts=3)
     proxy = Proxy(Balancer(conf, 1, 0.0), conf)
     reasons = list[AnswerReason]()
-    carry_out = proxy.carry_out
+    execute = proxy.execute
 
     def note_reasons(actions: list[Action]) -> None:
         reasons.extend(action.reason for action in actions if isinstance(action, Reject | Fail))
-        carry_out(actions)
+        execute(actions)
 
-    proxy.carry_out = note_reasons  # type: ignore[method-assign]
+    proxy.execute = note_reasons  # type: ignore[method-assign]
     send_request(proxy, 5)  # the list is empty
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(6)))
     proxy.end(send_request(proxy, 5), 0, Outcome.MISS)  # there is no origin
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -88,7 +88,7 @@
         self.sends: list[tuple[float, bytes]] = []
         self.log_lines: list[str] = []
         self.watch_count = 0
-        self.carry_out(balancer.start(now))
+        self.execute(balancer.start(now))
 
     def feed(self, event: Event) -> list[Action]:
         if isinstance(event, EndpointUpdate) and event.kind is not EndpointUpdateKind.FAILED:
@@ -119,10 +119,10 @@
             seen_request.outcomes[event.attempt] = event.outcome
             seen_request.answered = seen_request.answered or event.request_finished
         actions = self.balancer.handle(event, self.now)
-        self.carry_out(actions)
+        self.execute(actions)
         return actions
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
