--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -26,7 +26,7 @@
         self.assertEqual(head, get().rsplit(b"d=", 1)[0])
         self.assertIn(int(deadline), range(1, 901))
         node.conn.send(SERVED)
-        self.answers(client, b"$1\r\nV\r\n")
+        self.assert_received(client, b"$1\r\nV\r\n")
         self.assertEqual(self.script.ends(), [(0, "OK", True)])
 
     def test_a_miss_is_sent_to_the_origin(self) -> None:
@@ -37,27 +37,27 @@
         self.assertIn(b"GET /1f HTTP/1.1\r\n", origin.got)
         self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.got)
         origin.conn.send(HTTP_OK)
-        self.answers(client, b"$1\r\nV\r\n")
+        self.assert_received(client, b"$1\r\nV\r\n")
         self.assertEqual(self.script.ends(), [(0, "MISS", False), (1, "OK", True)])
 
     def test_a_value_larger_than_clients_may_store_is_served_whole(self) -> None:
         value = b"x" * 400_000
         client = self.client(get())
         self.at_node().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
-        self.answers(client, b"$400000\r\n%b\r\n" % value)
+        self.assert_received(client, b"$400000\r\n%b\r\n" % value)
         self.script.react = once_to(ORIGIN)
         client.got = b""
         client.conn.send(get())
         self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
-        self.answers(client, b"$400000\r\n%b\r\n" % value)
+        self.assert_received(client, b"$400000\r\n%b\r\n" % value)
 
     def test_a_rejection_contains_the_time_after_which_to_retry(self) -> None:
         self.script.react = lambda event: [Reject(event.request_id, 75.0)]
-        self.answers(self.client(get()), b"-BUSY 75\r\n")
+        self.assert_received(self.client(get()), b"-BUSY 75\r\n")
 
     def test_time_unread_during_a_long_loop_iteration_is_subtracted_from_the_timeout(self) -> None:
         client = self.client(PING)
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         for request_id, latency, timeout in ((b"a", 0.4, 900), (b"b", 300.0, 600), (b"c", 5000.0, 1)):
             client.conn.send(get(request_id))
             count = len(self.script.events)
@@ -80,11 +80,11 @@
         self.assertEqual(client.got, b"")  # the first reply is still pending
         first.conn.send(SERVED)
         value = b"$1\r\nV\r\n"
-        self.answers(client, value + b"+PONG\r\n-ERR wrong number of arguments\r\n" + value)
+        self.assert_received(client, value + b"+PONG\r\n-ERR wrong number of arguments\r\n" + value)
 
     def test_more_commands_than_the_pipeline_depth_and_the_recursion_limit_are_answered(self) -> None:
         client = self.client(PING * 9000)
-        self.answers(client, b"+PONG\r\n" * 9000)
+        self.assert_received(client, b"+PONG\r\n" * 9000)
 
     def test_time_unread_behind_a_full_pipeline_is_subtracted_from_the_timeout(self) -> None:
         self.script.react = lambda event: []
@@ -244,10 +244,10 @@
         node = self.at_node(0)
         self.at_node(1)
         second = self.client(get() + get(b"b"))
-        self.answers(second, b"-ERR id is that of another open query\r\n" * 2)
+        self.assert_received(second, b"-ERR id is that of another open query\r\n" * 2)
         self.assertEqual(len(self.script.events), 2)
         node.conn.send(SERVED)
-        self.answers(first, b"$1\r\nV\r\n")
+        self.assert_received(first, b"$1\r\nV\r\n")
         disconnecting.reset()
         self.until(lambda: len(self.front.clients) == 2, "its disconnect")
         second.conn.send(get() + get(b"b"))
@@ -262,7 +262,7 @@
         self.until(lambda: len(self.script.events) == 4, "the second request b")
         first.reset()
         self.until(lambda: len(self.front.clients) == 1, "the disconnect of the first client")
-        self.answers(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
+        self.assert_received(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
         second.conn.close()
 
 
@@ -277,4 +277,4 @@
         )
         self.at_node()
         self.assertEqual([e.tenant for e in self.script.events if isinstance(e, RequestReceived)], [1])
-        self.answers(client, b"-ERR tenant is unknown\r\n")
+        self.assert_received(client, b"-ERR tenant is unknown\r\n")
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -55,14 +55,14 @@
         silent = self.client()
         partial = self.client(get()[:9])
         second_partial = self.client(PING)
-        self.answers(second_partial, b"+PONG\r\n")
+        self.assert_received(second_partial, b"+PONG\r\n")
         second_partial.conn.send(get(b"b")[:-3])
         for peer, got in ((silent, b""), (partial, b"-ERR"), (second_partial, b"+PONG\r\n-ERR")):
             self.until_closed(peer)
             self.assertTrue(peer.got.startswith(got) and bool(peer.got) == bool(got))
         self.assertEqual((idle.got, idle.ends, waiting.ends), (b"+PONG\r\n", [], []))
         self.at_node().conn.send(SERVED)
-        self.answers(waiting, b"$1\r\nV\r\n")
+        self.assert_received(waiting, b"$1\r\nV\r\n")
 
 
 class WaitingToBeAccepted(NetworkScene):
@@ -93,7 +93,7 @@
 
     def test_a_command_written_before_its_idle_connection_is_closed_is_still_answered(self) -> None:
         client = self.client(PING)
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         client.conn._sock.send(get())  # not yet read when the shutdown closes idle connections
         self.shut_down_at_once()
         self.at_node().conn.send(SERVED)
@@ -106,7 +106,7 @@
     def test_a_command_behind_many_others_is_read_before_its_idle_connection_is_closed(self) -> None:
         echo = b"*2\r\n$4\r\nPING\r\n$11\r\n" + b"x" * 11 + b"\r\n"  # 32 bytes: reads end between commands
         client = self.client(PING)
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         client.conn._sock.send(echo * 512 + get())
         self.shut_down_at_once()
         self.at_node().conn.send(SERVED)
@@ -115,13 +115,13 @@
 
     def test_the_only_proxy_keeps_serving_after_its_signal_and_finally_sends_a_retry_time(self) -> None:
         client = self.client(PING)
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         self.front.shut_down()
         self.front._stop_listening()  # no new clients are accepted; connected clients stay
         client.conn.send(get())
         node = self.at_node()
         node.conn.send(SERVED)
-        self.answers(client, b"+PONG\r\n$1\r\nV\r\n")
+        self.assert_received(client, b"+PONG\r\n$1\r\nV\r\n")
         self.assertFalse(self.front.is_finished)
         # With a deadline of 1500 ms and an objective of 500 ms, all is answered by 2 s; the kill may come at
         # 2.2 s.
@@ -230,5 +230,5 @@
             self.until(lambda: self.script.ends(), "the answer")
             self.assertFalse(self.front.idle_clients or self.front.idle_clients.evict_one(self.loop.now()))
             self.shut_down_at_once()
-        self.answers(client, b"$1\r\nV\r\n")
+        self.assert_received(client, b"$1\r\nV\r\n")
         self.until(lambda: client.ends, "the close")
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -83,7 +83,7 @@
         node = self.at_node()
         send_errors = self.fail_first("send", descriptors)
         node.conn.send(SERVED)
-        self.answers(client, b"$1\r\nV\r\n")
+        self.assert_received(client, b"$1\r\nV\r\n")
         self.assertEqual((read_errors, send_errors), ([], []))
 
     def test_a_client_is_served_though_registering_its_socket_fails_at_first(self) -> None:
@@ -100,7 +100,7 @@
         with mock.patch.object(self.loop._selector, "register", register_after_failures):
             node = self.at_node()
         node.conn.send(SERVED)
-        self.answers(client, b"$1\r\nV\r\n")
+        self.assert_received(client, b"$1\r\nV\r\n")
         self.assertEqual(failures, [])
 
     def test_a_connect_interrupted_by_a_signal_continues(self) -> None:
@@ -124,7 +124,7 @@
             self.front.update_listening()
         client = self.client(get())
         self.at_node().conn.send(SERVED)
-        self.answers(client, b"$1\r\nV\r\n")
+        self.assert_received(client, b"$1\r\nV\r\n")
 
     def test_descriptors_are_released_if_setting_a_socket_option_fails(self) -> None:
         used = self.budget.used
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -147,7 +147,7 @@
         self.at_node().conn.send(SERVED)
         self.until(lambda: handler.told, "the reply")
         client = self.client(PING)  # the listener and the idle connection hold all descriptors
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         self.until(lambda: self.node.peers[0].ends, "the idle connection to end")
         client.conn.close()
         self.until(lambda: self.budget.used == 1, "the client to be closed")
@@ -168,8 +168,8 @@
         self.until(lambda: handler.told, "the reply")
         self.budget.limit, self.front.capacity.share = 4, 1  # one is reserved, the listener has one
         first_client = self.client(PING)
-        self.answers(first_client, b"+PONG\r\n")
-        self.answers(self.client(PING), b"+PONG\r\n")
+        self.assert_received(first_client, b"+PONG\r\n")
+        self.assert_received(self.client(PING), b"+PONG\r\n")
         self.until(lambda: first_client.ends, "the first client to end")
         self.assertEqual((len(self.budget.idle_connections), self.node.peers[0].ends), (1, []))
 
@@ -178,8 +178,8 @@
         waiting_client = self.client(PING)
         self.until(lambda: not self.front._mask, "the listener to stop accepting")
         self.budget.used -= 1
-        self.answers(waiting_client, b"+PONG\r\n")
-        self.answers(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
+        self.assert_received(waiting_client, b"+PONG\r\n")
+        self.assert_received(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
         self.until(lambda: waiting_client.ends, "the idle client to be closed")
 
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
--- a/tests/net/test_idle_client_tracker.py
+++ b/tests/net/test_idle_client_tracker.py
@@ -19,23 +19,23 @@
             self.front.return_estimator.record_return(2, 30)
         share = self.SOCKETS // 3
         returning = self.client(PING)
-        self.answers(returning, b"+PONG\r\n")
+        self.assert_received(returning, b"+PONG\r\n")
         returning.conn.send(PING)
-        self.answers(returning, b"+PONG\r\n" * 2)
+        self.assert_received(returning, b"+PONG\r\n" * 2)
         waiting = self.client(get())
         single_command_clients = [self.client(PING) for _ in range(share - 2)]
         for peer in single_command_clients:
-            self.answers(peer, b"+PONG\r\n")
+            self.assert_received(peer, b"+PONG\r\n")
         self.until(lambda: sum(bool(peer.ends) for peer in single_command_clients) >= share // 4, "room")
         self.assertEqual((returning.ends, waiting.ends), ([], []))
         self.at_node().conn.send(SERVED)
-        self.answers(waiting, b"$1\r\nV\r\n")
+        self.assert_received(waiting, b"$1\r\nV\r\n")
 
     def test_a_silent_client_is_evicted_first_and_then_the_longest_idle_one(self) -> None:
         first = self.client(PING)
-        self.answers(first, b"+PONG\r\n")
+        self.assert_received(first, b"+PONG\r\n")
         second = self.client(PING)
-        self.answers(second, b"+PONG\r\n")
+        self.assert_received(second, b"+PONG\r\n")
         silent = self.client()
         self.until(lambda: len(self.front.clients) == 3, "all clients")
         tracker = self.front.idle_clients
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -246,7 +246,7 @@
         self.until(lambda: len(peers) > number and peers[number].got, "a request")
         return peers[number]
 
-    def answers(self, peer: RecordingPeer, data: bytes) -> None:
+    def assert_received(self, peer: RecordingPeer, data: bytes) -> None:
         """Wait until this peer has received as many bytes as `data` has, and check that they are equal."""
         self.until(lambda: len(peer.got) >= len(data) or peer.ends, "an answer")
         self.assertEqual(peer.got, data)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -153,7 +153,7 @@
             self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
             self.assertIn(b"index=4 ", listeners[1].peers[0].got)
             node.conn.send(SERVED)
-            self.answers(client, b"$1\r\nV\r\n")
+            self.assert_received(client, b"$1\r\nV\r\n")
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
             self.until(lambda: client.ends, "the end")
@@ -231,11 +231,11 @@
         with self.start_listening(self.configuration()) as process:
             client = self.client(get())
             idle = self.client(PING)
-            self.answers(idle, b"+PONG\r\n")
+            self.assert_received(idle, b"+PONG\r\n")
             node = self.at_node()
             process.send_signal(signal.SIGTERM)
             late = self.client(PING)
-            self.answers(late, b"+PONG\r\n")  # it still accepts connections
+            self.assert_received(late, b"+PONG\r\n")  # it still accepts connections
             self.until(lambda: idle.ends and late.ends, "idle connections to end")
             self.assertEqual((idle.ends, client.ends), ([True], []))
             node.conn.send(SERVED)
@@ -257,7 +257,7 @@
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
                 node.conn.send(SERVED)
-                self.answers(client, b"$1\r\nV\r\n")
+                self.assert_received(client, b"$1\r\nV\r\n")
                 self.until(lambda: client.ends, "the end")
                 client.conn.close()
                 process.wait(END_TIMEOUT_S)
@@ -269,12 +269,12 @@
         config["settings"]["membership-mode"] = "push"
         with self.start_listening(config) as process:  # no process listens at discovery's address
             client = self.client(PING)
-            self.answers(client, b"+PONG\r\n")
+            self.assert_received(client, b"+PONG\r\n")
             process.send_signal(signal.SIGTERM)
             self.until_logged(process, "listener_closed")
             client.conn.send(get())
             self.at_node().conn.send(SERVED)
-            self.answers(client, b"+PONG\r\n$1\r\nV\r\n")
+            self.assert_received(client, b"+PONG\r\n$1\r\nV\r\n")
             self.until(lambda: client.ends, "the end")
             client.conn.close()
             process.wait(END_TIMEOUT_S)
