--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -113,8 +113,8 @@
         with mock.patch.object(socket.socket, "connect_ex", interrupted):
             handler = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: handler.told, "an answer")
-        self.assertEqual(handler.told, [b"V"])
+        self.until(lambda: handler.answers, "an answer")
+        self.assertEqual(handler.answers, [b"V"])
 
     def test_the_listener_is_registered_again_after_the_selector_had_no_memory_for_it(self) -> None:
         self.loop.watch(self.front._sock, READ, 0, self.front._on_readable)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -26,19 +26,19 @@
         first = self.ask()
         node = self.at_node()
         node.conn.send(SERVED)
-        self.until(lambda: first.told, "a reply")
+        self.until(lambda: first.answers, "a reply")
         node.conn.send(SERVED)  # belongs to no request: the connection is closed, and the excess is recorded
         self.until(lambda: node.ends, "the end of the connection")
         second = self.ask()
         node = self.at_node(1)
         node.conn.send(SERVED.replace(b"V", b"2"))
-        self.until(lambda: second.told, "a reply")
+        self.until(lambda: second.answers, "a reply")
         third = self.ask()
         third_node = self.at_node(2)  # not the connection on which the second copy will arrive
         node.conn.send(SERVED.replace(b"V", b"2"))
         third_node.conn.send(SERVED.replace(b"V", b"3"))
-        self.until(lambda: third.told, "a reply")
-        self.assertEqual((second.told, third.told), ([b"2"], [b"3"]))
+        self.until(lambda: third.answers, "a reply")
+        self.assertEqual((second.answers, third.answers), ([b"2"], [b"3"]))
 
 
 class ConnectionReuse(NetworkScene):
@@ -76,8 +76,8 @@
                 second = self.ask_again_when_served(first, peer, reply + excess, ends=not excess)
                 other_peer = self.peer_with_request(listener, other_than=peer)
                 other_peer.conn.send(reply)
-                self.until(lambda: second.told, "the second reply")  # noqa: B023
-                self.assertEqual((second.told, peer.got), ([b"V"], b""))
+                self.until(lambda: second.answers, "the second reply")  # noqa: B023
+                self.assertEqual((second.answers, peer.got), ([b"V"], b""))
                 self.assertGreater(len(listener.peers), connections_before)
                 other_peer.got = b""
 
@@ -114,16 +114,16 @@
         node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
         handler = self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: handler.told, "a reply")
-        self.assertEqual(handler.told, [b"V"])
+        self.until(lambda: handler.answers, "a reply")
+        self.assertEqual(handler.answers, [b"V"])
 
     def test_a_retired_pool_finishes_attempts_in_flight_and_keeps_no_connection(self) -> None:
         handler = self.ask()
         node = self.at_node()
         self.links[NODE].retire()
         node.conn.send(SERVED)
-        self.until(lambda: handler.told and node.ends, "a reply and the end of the connection")
-        self.assertEqual(handler.told, [b"V"])
+        self.until(lambda: handler.answers and node.ends, "a reply and the end of the connection")
+        self.assertEqual(handler.answers, [b"V"])
 
 
 class DescriptorShortage(NetworkScene):
@@ -133,19 +133,19 @@
 
     def test_attempts_share_a_connection_up_to_the_limit(self) -> None:
         handlers = [self.ask(), self.ask(60), self.ask()]
-        self.until(lambda: handlers[2].told, "the third to be refused")
+        self.until(lambda: handlers[2].answers, "the third to be refused")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         node = self.at_node()
-        self.until(lambda: handlers[1].told, "the second to time out")
-        self.assertEqual(handlers[0].told, [])  # the other attempt on the connection is not aborted
+        self.until(lambda: handlers[1].answers, "the second to time out")
+        self.assertEqual(handlers[0].answers, [])  # the other attempt on the connection is not aborted
         node.conn.send(SERVED * 2)
-        self.until(lambda: handlers[0].told, "the first reply")
-        self.assertEqual((handlers[0].told, handlers[1].told), ([b"V"], ["failed"]))
+        self.until(lambda: handlers[0].answers, "the first reply")
+        self.assertEqual((handlers[0].answers, handlers[1].answers), ([b"V"], ["failed"]))
 
     def test_an_idle_connection_is_closed_when_a_client_or_another_server_needs_its_descriptor(self) -> None:
         handler = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: handler.told, "the reply")
+        self.until(lambda: handler.answers, "the reply")
         client = self.client(PING)  # the listener and the idle connection hold all descriptors
         self.assert_received(client, b"+PONG\r\n")
         self.until(lambda: self.node.peers[0].ends, "the idle connection to end")
@@ -153,19 +153,19 @@
         self.until(lambda: self.budget.used == 1, "the client to be closed")
         handler = self.ask()
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: handler.told, "the reply")
+        self.until(lambda: handler.answers, "the reply")
         self.script.react = once_to(ORIGIN)
         handler = self.ask()
         self.at_node(0, self.origin).conn.send(OK_HTTP)
-        self.until(lambda: handler.told, "the origin's reply")
+        self.until(lambda: handler.answers, "the origin's reply")
         self.assertEqual(
-            (handler.told, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
+            (handler.answers, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
         )
 
     def test_clients_beyond_their_share_do_not_close_idle_connections_to_servers(self) -> None:
         handler = self.ask()
         self.at_node().conn.send(SERVED)
-        self.until(lambda: handler.told, "the reply")
+        self.until(lambda: handler.answers, "the reply")
         self.budget.limit, self.front.capacity.share = 4, 1  # one is reserved, the listener has one
         first_client = self.client(PING)
         self.assert_received(first_client, b"+PONG\r\n")
@@ -185,5 +185,5 @@
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
         self.script.react = lambda event: []
         handlers = [self.ask(), self.ask(), self.ask()]
-        self.assertEqual(self.ask().told, [400.0])
-        self.assertEqual([handler.told for handler in handlers], [[], [], []])
+        self.assertEqual(self.ask().answers, [400.0])
+        self.assertEqual([handler.answers for handler in handlers], [[], [], []])
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -59,7 +59,7 @@
         self.at_node(0).conn.send(SERVED)
         self.at_node(1).conn.send(SERVED)
         self.until(lambda: len(self.script.ends()) == 4, "all ends")
-        self.assertEqual(handler.told, [b"V"])
+        self.assertEqual(handler.answers, [b"V"])
         self.assertIn((3, "NOT_STARTED", True), self.script.ends())
         self.assertIn((1, "OK", True), self.script.ends())
 
@@ -96,17 +96,17 @@
 
         self.script.react = react
         handler = self.ask()
-        self.assertEqual((handler.told, self.script.ends()), ([0.0], [(0, "CANCELLED", False)]))
+        self.assertEqual((handler.answers, self.script.ends()), ([0.0], [(0, "CANCELLED", False)]))
         self.assertTrue(self.engine.is_idle)
 
     def test_a_request_is_failed_after_an_exception_in_the_balancer(self) -> None:
         self.script.react = lambda event: [][1]
-        self.assertEqual(self.ask().told, ["failed"])
+        self.assertEqual(self.ask().answers, ["failed"])
 
         def fail_after_first(event: Any) -> list[Action]:
             return [StartAttempt(event.request_id, NODE)] if isinstance(event, RequestReceived) else [][1]
 
         self.script.react = fail_after_first
         handler = self.ask(60)
-        self.until(lambda: handler.told, "the timer of the request")
-        self.assertEqual(handler.told, ["failed"])
+        self.until(lambda: handler.answers, "the timer of the request")
+        self.assertEqual(handler.answers, ["failed"])
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -42,8 +42,8 @@
     """CONNECT_FAILED proves that an attempt has not run; after RESET it may have run."""
 
     def outcome(self, handler: RecordingHandler) -> str:
-        self.until(lambda: handler.told, "a final answer")
-        self.assertEqual(handler.told, ["failed"])
+        self.until(lambda: handler.answers, "a final answer")
+        self.assertEqual(handler.answers, ["failed"])
         return self.script.ends()[0][1]
 
     def origin_reader(self) -> OriginReplyReader:
@@ -84,7 +84,7 @@
             before = Counter(closed)
             handler = self.ask()
             end(self.at_node(len(self.node.peers)))
-            self.until(lambda: handler.told, "a final answer")  # noqa: B023
+            self.until(lambda: handler.answers, "a final answer")  # noqa: B023
             self.assertEqual(closed - before, {name: 1})
 
     def test_a_busy_reply_is_a_rejection(self) -> None:
@@ -111,11 +111,11 @@
                 origin = self.at_node(number, self.origin)
                 origin.conn.send(head + b"VAL")
                 self.until(lambda: self.origin_reader()._response_reader.current.body, "a part of the body")
-                self.assertFalse(handler.told)
+                self.assertFalse(handler.answers)
                 end(origin)
-                self.until(lambda: handler.told, "a final answer")  # noqa: B023
+                self.until(lambda: handler.answers, "a final answer")  # noqa: B023
                 self.assertEqual(self.script.ends()[-1][1], outcome)
-                self.assertEqual(handler.told, [b"VAL" if outcome == "OK" else "failed"])
+                self.assertEqual(handler.answers, [b"VAL" if outcome == "OK" else "failed"])
 
     def test_no_reply_by_the_deadline_closes_the_connection(self) -> None:
         handler = self.ask(60)
@@ -312,7 +312,7 @@
         self.until(lambda: delayed.held, "a connection")
         self.links[NODE].retire()
         delayed.release()
-        self.until(lambda: handler.told, "a final answer")
+        self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.until(lambda: self.node.peers and self.node.peers[0].ends, "the end of the connection")
         self.assertEqual(self.node.peers[0].got, b"")
@@ -328,7 +328,7 @@
         self.until(lambda: delayed.held, "a connection")
         wait_until(self, self.loop.now() + 31)  # after the end of the window
         delayed.release()
-        self.until(lambda: handler.told, "a final answer")
+        self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.assertEqual(self.node.peers[0].got, b"")
 
@@ -349,7 +349,7 @@
     def test_an_attempt_that_is_unsent_at_its_deadline_is_connect_failed(self) -> None:
         self.delay_connections()
         handler = self.ask(60)
-        self.until(lambda: handler.told, "a final answer")
+        self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
 
     def test_an_abandoned_attempt_queued_behind_others_is_not_sent(self) -> None:
@@ -358,10 +358,10 @@
         self.until(lambda: delayed.held, "a connection")
         with mock.patch.object(self.budget, "has_capacity", lambda keep=0: False):
             second, third = self.ask(60), self.ask()
-        self.until(lambda: second.told, "the second to time out")
+        self.until(lambda: second.answers, "the second to time out")
         delayed.release()
         node = self.at_node()
         self.until(lambda: node.got.count(b"OBJ.GET") == 2, "two commands")
         node.conn.send(SERVED * 2)
-        self.until(lambda: first.told and third.told, "both replies")
+        self.until(lambda: first.answers and third.answers, "both replies")
         self.assertEqual((len(self.node.peers), node.got.count(b"OBJ.GET")), (1, 2))
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -137,17 +137,17 @@
     """A response handler that records the answers."""
 
     def __init__(self) -> None:
-        self.told = list[object]()  # a value, the retry_after of a rejection, or "failed"
+        self.answers = list[object]()  # a value, the retry_after of a rejection, or "failed"
         self.query: PendingRequest | None = None
 
     def on_served(self, value: bytes) -> None:
-        self.told.append(value)
+        self.answers.append(value)
 
     def on_rejected(self, retry_after: float) -> None:
-        self.told.append(retry_after)
+        self.answers.append(retry_after)
 
     def on_failed(self) -> None:
-        self.told.append("failed")
+        self.answers.append("failed")
 
 
 class NetworkScene(TestCase):
