--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -96,7 +96,7 @@
         self.loop.call_at(full_until, lambda: None)
         self.until(lambda: self.loop.now() >= full_until, "200 ms with a full pipeline")
         self.script.react = lambda event: [Reject(1)] if isinstance(event, TimerFired) else []
-        self.engine.notify(TimerFired(1))
+        self.dispatcher.notify(TimerFired(1))
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH + 2, "the next command")
         last = self.script.events[-1]
         assert isinstance(last, RequestReceived)
@@ -111,7 +111,7 @@
         client.conn._sock.setblocking(True)
         client.conn._sock.sendall(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:40]))
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
-        for request in self.engine._requests.unfinished():
+        for request in self.dispatcher._requests.unfinished():
             assert request.handler
             request.handler.on_served(b"x" * 65536)
         [accepted] = [one.conn for one in self.front.clients]
@@ -164,7 +164,7 @@
         node.conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
         self.assertEqual((client.got, client.ends), (b"", [True]))
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
         self.assertFalse(self.front.open_request_ids or self.front.clients)
 
     def test_replies_already_encoded_are_written_after_the_client_ended_its_sending(self) -> None:
@@ -173,7 +173,7 @@
         self.until(lambda: len(self.script.events) == 2, "both commands")
         with mock.patch.object(Connection, "_flush"):  # the system takes nothing
             self.script.react = lambda event: [Reject(1)]
-            self.engine.notify(TimerFired(1))
+            self.dispatcher.notify(TimerFired(1))
             client.conn._sock.shutdown(socket.SHUT_WR)
             self.until(lambda: self.disconnected() == {2}, "its disconnect")
         self.until(lambda: client.ends, "the close")
@@ -190,7 +190,7 @@
         self.until(lambda: client.ends, "the close")
         received = [e for e in self.script.events if isinstance(e, RequestReceived)]
         self.assertEqual((len(received), len(self.disconnected())), (MAX_PIPELINE_DEPTH, MAX_PIPELINE_DEPTH))
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
 
 
 class UndetectedDisconnects(NetworkScene):
@@ -234,7 +234,7 @@
         disconnected_at = self.loop.now()
         self.until(lambda: not self.front.clients, "the disconnect")
         self.assertLess(self.loop.now() - disconnected_at, 400)  # earlier than the requests' deadlines
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
 
 
 class RequestIds(NetworkScene):
@@ -257,7 +257,7 @@
         self.script.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
         first = self.client(get() + get(b"b"))
         self.until(lambda: len(self.script.events) == 2, "both requests")
-        self.engine.notify(TimerFired(1))  # b has its reply, which waits for the reply to a
+        self.dispatcher.notify(TimerFired(1))  # b has its reply, which waits for the reply to a
         second = self.client(get(b"b"))
         self.until(lambda: len(self.script.events) == 4, "the second request b")
         first.reset()
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -99,7 +99,7 @@
         self.at_node().conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
         self.assertEqual((client.got, client.ends), (b"+PONG\r\n$1\r\nV\r\n", [True]))
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
         client.conn.close()
         self.until(lambda: self.front.is_finished, "the end of the shutdown")
 
@@ -152,7 +152,7 @@
             "the second command",
         )
         self.script.react = lambda event: [Reject(1)]
-        self.engine.notify(TimerFired(1))
+        self.dispatcher.notify(TimerFired(1))
         self.until(lambda: client.ends, "the close")
         self.assertEqual(client.got, b"-BUSY\r\n-BUSY\r\n")
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
@@ -165,7 +165,7 @@
         self.at_node()  # the node does not reply during the whole shutdown
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
         nearly_over = ShutdownSchedule(settings, self.loop.now() - 1950)
-        with mock.patch.object(self.engine, "shutdown_schedule", lambda: nearly_over):
+        with mock.patch.object(self.dispatcher, "shutdown_schedule", lambda: nearly_over):
             self.front.shut_down()
         self.until(lambda: client.ends, "the close")
         self.assertEqual(client.got, b"-ERR failed\r\n")
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -24,7 +24,7 @@
             [node] = [peer for peer in self.node.peers if peer.got]
             node.got = b""
             [connection] = list(self.front.clients)
-            [request] = self.engine._requests.unfinished()
+            [request] = self.dispatcher._requests.unfinished()
             [attempt] = request.attempts
             [upstream] = list(self.links[NODE]._busy)
             references += map(weakref.ref, (connection, connection.conn, request, attempt))
@@ -33,7 +33,7 @@
             if case == "client disconnected":
                 client.reset()
                 self.until(lambda: not self.front.clients, "the client's disconnect")
-                self.engine._abandon_attempt(attempt, Outcome.TIMEOUT)
+                self.dispatcher._abandon_attempt(attempt, Outcome.TIMEOUT)
             else:
                 node.reset() if case == "reset by the node" else node.conn.send(SERVED)
                 self.until(lambda: client.got, "an answer")  # noqa: B023
@@ -97,7 +97,7 @@
         self.script.react = react
         handler = self.ask()
         self.assertEqual((handler.answers, self.script.ends()), ([0.0], [(0, "CANCELLED", False)]))
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
 
     def test_a_request_is_failed_after_an_exception_in_the_balancer(self) -> None:
         self.script.react = lambda event: [][1]
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -274,7 +274,7 @@
                 client = self.client(get())
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
                 client.reset() if way == "reset" else client.conn.close()
-                self.until(lambda: self.engine.is_idle, "the request to be cancelled")
+                self.until(lambda: self.dispatcher.is_idle, "the request to be cancelled")
                 delayed.release()
                 [upstream] = delayed.held
                 self.until(lambda: not upstream.connecting, "the connection")  # noqa: B023
@@ -296,7 +296,7 @@
         client = self.client(get())
         self.until(lambda: delayed.held, "a connection")
         client.conn.close()
-        self.until(lambda: self.engine.is_idle, "the request to be cancelled")
+        self.until(lambda: self.dispatcher.is_idle, "the request to be cancelled")
         self.links[NODE].retire()
         self.stand_still(200)
         with mock.patch("lupinladder.net.connection_pool.send_refusal", lambda *_: None):
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -177,11 +177,11 @@
             NODE: self.link(self.node.address, CacheNodeProtocol([])),
             ORIGIN: self.link(self.origin.address, OriginProtocol(self.origin.address, [])),
         }
-        self.engine = self._dispatcher()
+        self.dispatcher = self._dispatcher()
         self.front = ClientListener(
             self.loop,
             self.budget,
-            self.engine,
+            self.dispatcher,
             open_listening_socket(("127.0.0.1", 0)),
             ["read"],
             self.TENANTS,
@@ -235,7 +235,7 @@
         """Pass a read directly to the dispatcher, with a client timeout of `wait` ms."""
         handler = RecordingHandler()
         command = parse_command([b"OBJ.GET", b"1f", b"a", b"c=read,d=%d" % wait], ["read"])
-        handler.query = self.engine.dispatch(
+        handler.query = self.dispatcher.dispatch(
             command, lambda number: RequestReceived(number, 0, wait), handler
         )
         return handler
