--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -114,7 +114,7 @@
         for request in self.dispatcher._requests.unfinished():
             assert request.handler
             request.handler.on_served(b"x" * 65536)
-        [accepted] = [one.conn for one in self.front.clients]
+        [accepted] = [one.conn for one in self.listener.clients]
         self.until(lambda: accepted.bytes_sent > 0, "some bytes")
         self.assertLessEqual(len(accepted.outbox), accepted.outbox.max_size)
         client.conn._sock.setblocking(False)
@@ -133,8 +133,8 @@
 
     def test_a_client_that_keeps_sending_after_a_framing_error_is_closed(self) -> None:
         client = self.client()
-        self.until(lambda: self.front.clients, "a client")
-        [accepted] = self.front.clients
+        self.until(lambda: self.listener.clients, "a client")
+        [accepted] = self.listener.clients
 
         def flood() -> bool:
             if client.conn.is_open and client.conn.outbox.available_space >= 9000:
@@ -165,7 +165,7 @@
         self.until(lambda: client.ends, "the close")
         self.assertEqual((client.got, client.ends), (b"", [True]))
         self.assertTrue(self.dispatcher.is_idle)
-        self.assertFalse(self.front.open_request_ids or self.front.clients)
+        self.assertFalse(self.listener.open_request_ids or self.listener.clients)
 
     def test_replies_already_encoded_are_written_after_the_client_ended_its_sending(self) -> None:
         self.script.react = lambda event: []
@@ -198,11 +198,11 @@
 
     def test_a_request_read_together_with_the_disconnect_of_its_client_is_not_processed(self) -> None:
         client = self.client()
-        self.until(lambda: self.front.clients, "the client")
+        self.until(lambda: self.listener.clients, "the client")
         client.conn._sock.send(get())
         client.conn.close()
         self.stand_still(1000)
-        self.until(lambda: not self.front.clients, "the disconnect")
+        self.until(lambda: not self.listener.clients, "the disconnect")
         self.assertFalse([e for e in self.script.events if isinstance(e, RequestReceived)])
 
     def test_a_failed_attempt_is_not_retried_if_the_disconnect_of_its_client_is_unread(self) -> None:
@@ -225,14 +225,14 @@
         self.script.react = lambda event: []
         client = self.client(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:32]))
         self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
-        [accepted] = [one.conn for one in self.front.clients]
+        [accepted] = [one.conn for one in self.listener.clients]
         while accepted.inbox.available_space:
             client.conn._sock.send(b"x" * min(accepted.inbox.available_space, 4096))
             self.loop.run_once()
         client.conn._sock.send(b"x" * 4096)
         client.conn.close()
         disconnected_at = self.loop.now()
-        self.until(lambda: not self.front.clients, "the disconnect")
+        self.until(lambda: not self.listener.clients, "the disconnect")
         self.assertLess(self.loop.now() - disconnected_at, 400)  # earlier than the requests' deadlines
         self.assertTrue(self.dispatcher.is_idle)
 
@@ -249,7 +249,7 @@
         node.conn.send(SERVED)
         self.assert_received(first, b"$1\r\nV\r\n")
         disconnecting.reset()
-        self.until(lambda: len(self.front.clients) == 2, "its disconnect")
+        self.until(lambda: len(self.listener.clients) == 2, "its disconnect")
         second.conn.send(get() + get(b"b"))
         self.until(lambda: sum(isinstance(e, RequestReceived) for e in self.script.events) == 4, "both")
 
@@ -261,7 +261,7 @@
         second = self.client(get(b"b"))
         self.until(lambda: len(self.script.events) == 4, "the second request b")
         first.reset()
-        self.until(lambda: len(self.front.clients) == 1, "the disconnect of the first client")
+        self.until(lambda: len(self.listener.clients) == 1, "the disconnect of the first client")
         self.assert_received(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
         second.conn.close()
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -87,9 +87,9 @@
 class Shutdown(NetworkScene):
     def shut_down_at_once(self) -> None:
         """Do immediately what a shutdown does within half a second."""
-        self.front.shut_down()
-        self.front._stop_listening()
-        self.front._close_idle_clients()
+        self.listener.shut_down()
+        self.listener._stop_listening()
+        self.listener._close_idle_clients()
 
     def test_a_command_written_before_its_idle_connection_is_closed_is_still_answered(self) -> None:
         client = self.client(PING)
@@ -101,7 +101,7 @@
         self.assertEqual((client.got, client.ends), (b"+PONG\r\n$1\r\nV\r\n", [True]))
         self.assertTrue(self.dispatcher.is_idle)
         client.conn.close()
-        self.until(lambda: self.front.is_finished, "the end of the shutdown")
+        self.until(lambda: self.listener.is_finished, "the end of the shutdown")
 
     def test_a_command_behind_many_others_is_read_before_its_idle_connection_is_closed(self) -> None:
         echo = b"*2\r\n$4\r\nPING\r\n$11\r\n" + b"x" * 11 + b"\r\n"  # 32 bytes: reads end between commands
@@ -116,26 +116,26 @@
     def test_the_only_proxy_keeps_serving_after_its_signal_and_finally_sends_a_retry_time(self) -> None:
         client = self.client(PING)
         self.assert_received(client, b"+PONG\r\n")
-        self.front.shut_down()
-        self.front._stop_listening()  # no new clients are accepted; connected clients stay
+        self.listener.shut_down()
+        self.listener._stop_listening()  # no new clients are accepted; connected clients stay
         client.conn.send(get())
         node = self.at_node()
         node.conn.send(SERVED)
         self.assert_received(client, b"+PONG\r\n$1\r\nV\r\n")
-        self.assertFalse(self.front.is_finished)
+        self.assertFalse(self.listener.is_finished)
         # With a deadline of 1500 ms and an objective of 500 ms, all is answered by 2 s; the kill may come at
         # 2.2 s.
-        self.front.shutdown = ShutdownSchedule(
+        self.listener.shutdown = ShutdownSchedule(
             Settings([RequestClass(500, 1500)], max_retry_after=400), self.loop.now() - 1700
         )
         client.conn.send(get(b"b"))
         self.until(lambda: b"-BUSY " in client.got, "a rejection")
         self.assertIn(int(client.got.rsplit(b" ", 1)[1]), range(300, 401))
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
-        self.front._close_idle_clients()
+        self.listener._close_idle_clients()
         self.until(lambda: client.ends, "the close")
         client.conn.close()
-        self.until(lambda: self.front.is_finished, "the end of the shutdown")
+        self.until(lambda: self.listener.is_finished, "the end of the shutdown")
 
     def test_one_of_several_proxies_rejects_a_request_that_the_kill_would_leave_unanswered(
         self,
@@ -145,10 +145,10 @@
         self.until(lambda: self.script.events, "a request")
         self.shut_down_at_once()
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
-        self.front.shutdown = ShutdownSchedule(settings, self.loop.now() - 1700)
+        self.listener.shutdown = ShutdownSchedule(settings, self.loop.now() - 1700)
         client.conn.send(get(b"b"))
         self.until(
-            lambda: any(len(accepted._pending_replies) == 2 for accepted in self.front.clients),
+            lambda: any(len(accepted._pending_replies) == 2 for accepted in self.listener.clients),
             "the second command",
         )
         self.script.react = lambda event: [Reject(1)]
@@ -166,7 +166,7 @@
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
         nearly_over = ShutdownSchedule(settings, self.loop.now() - 1950)
         with mock.patch.object(self.dispatcher, "shutdown_schedule", lambda: nearly_over):
-            self.front.shut_down()
+            self.listener.shut_down()
         self.until(lambda: client.ends, "the close")
         self.assertEqual(client.got, b"-ERR failed\r\n")
         self.assertLess(self.loop.now(), nearly_over.killed_at)
@@ -176,49 +176,49 @@
         for sock in waiting:
             self.addCleanup(sock.close)
             sock.sendall(PING)
-        self.front.shut_down()
+        self.listener.shut_down()
         limit = self.budget.limit
         self.budget.limit = self.budget.used + MAX_ACCEPTS_PER_EVENT + 3
-        self.front._stop_listening()
-        self.assertFalse(self.front.is_finished)
-        self.assertEqual(len(self.front.clients), MAX_ACCEPTS_PER_EVENT + 3)
+        self.listener._stop_listening()
+        self.assertFalse(self.listener.is_finished)
+        self.assertEqual(len(self.listener.clients), MAX_ACCEPTS_PER_EVENT + 3)
         self.budget.limit = limit
-        self.until(lambda: self.front._stopped, "the close of the listener")
-        self.front._close_idle_clients()
-        self.until(lambda: not self.front.clients, "the close of all clients")
+        self.until(lambda: self.listener._stopped, "the close of the listener")
+        self.listener._close_idle_clients()
+        self.until(lambda: not self.listener.clients, "the close of all clients")
         self.assertEqual([sock.recv(99) for sock in waiting], [b"+PONG\r\n"] * len(waiting))
 
     def test_clients_in_the_backlog_are_answered_despite_transient_accept_errors(self) -> None:
         failures = [OSError(number, "transient") for number in TRANSIENT_ACCEPT_ERRORS]
-        self.front._sock = FailingAccept(self.front._sock, failures)  # type: ignore[assignment]
+        self.listener._sock = FailingAccept(self.listener._sock, failures)  # type: ignore[assignment]
         waiting = socket.create_connection(self.address)
         self.addCleanup(waiting.close)
         waiting.sendall(PING)
-        self.front.shut_down()
-        self.front._stop_listening()
-        self.until(lambda: self.front._stopped, "the close of the listener")
-        self.until(lambda: not len(self.front.clients) or self.front.idle_clients, "the reply")
-        self.front._close_idle_clients()
-        self.until(lambda: not self.front.clients, "the close of all clients")
+        self.listener.shut_down()
+        self.listener._stop_listening()
+        self.until(lambda: self.listener._stopped, "the close of the listener")
+        self.until(lambda: not len(self.listener.clients) or self.listener.idle_clients, "the reply")
+        self.listener._close_idle_clients()
+        self.until(lambda: not self.listener.clients, "the close of all clients")
         waiting.settimeout(1)
         self.assertEqual(waiting.recv(99), b"+PONG\r\n")
 
     def test_a_client_in_the_middle_of_a_command_gets_its_reply_or_an_error(self) -> None:
         partial_clients = [self.client(get(request_id)[:30]) for request_id in (b"a", b"b")]
         self.until(
-            lambda: [connection._command_incomplete for connection in self.front.clients] == [True, True]
+            lambda: [connection._command_incomplete for connection in self.listener.clients] == [True, True]
         )
         self.shut_down_at_once()
-        self.assertFalse(self.front.is_finished)
+        self.assertFalse(self.listener.is_finished)
         partial_clients[0].conn.send(get()[30:])
         self.at_node().conn.send(SERVED)
         self.until(lambda: partial_clients[0].ends, "its answer")
         partial_clients[0].conn.close()
-        assert self.front.shutdown
-        self.front.shutdown.answer_by = self.loop.now()
+        assert self.listener.shutdown
+        self.listener.shutdown.answer_by = self.loop.now()
         self.until(lambda: partial_clients[1].ends, "its error")
         partial_clients[1].conn.close()
-        self.until(lambda: self.front.is_finished, "the end of the shutdown")
+        self.until(lambda: self.listener.is_finished, "the end of the shutdown")
         replies = [b"$1\r\nV\r\n", b"-ERR Protocol error: command not ended in time\r\n"]
         self.assertEqual([connection.got for connection in partial_clients], replies)
 
@@ -228,7 +228,9 @@
         with mock.patch.object(Connection, "_flush"):  # the system takes no bytes
             node.conn._sock.sendall(SERVED)
             self.until(lambda: self.script.ends(), "the answer")
-            self.assertFalse(self.front.idle_clients or self.front.idle_clients.evict_one(self.loop.now()))
+            self.assertFalse(
+                self.listener.idle_clients or self.listener.idle_clients.evict_one(self.loop.now())
+            )
             self.shut_down_at_once()
         self.assert_received(client, b"$1\r\nV\r\n")
         self.until(lambda: client.ends, "the close")
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -72,8 +72,8 @@
 
     def accepted(self, client: RecordingPeer) -> set[int]:
         """Return the descriptors of the proxy's sockets to the clients."""
-        self.until(lambda: client.conn.is_open and self.front.clients, "the client")
-        return {accepted_client.conn._sock.fileno() for accepted_client in self.front.clients}
+        self.until(lambda: client.conn.is_open and self.listener.clients, "the client")
+        return {accepted_client.conn._sock.fileno() for accepted_client in self.listener.clients}
 
     def test_a_request_is_read_and_answered_despite_transient_read_and_write_errors(self) -> None:
         client = self.client()
@@ -117,11 +117,11 @@
         self.assertEqual(handler.answers, [b"V"])
 
     def test_the_listener_is_registered_again_after_the_selector_had_no_memory_for_it(self) -> None:
-        self.loop.watch(self.front._sock, READ, 0, self.front._on_readable)
-        self.front._mask = 0  # as while no descriptor is free for a client
+        self.loop.watch(self.listener._sock, READ, 0, self.listener._on_readable)
+        self.listener._mask = 0  # as while no descriptor is free for a client
         no_memory = OSError(errno.ENOMEM, "transient")
         with mock.patch.object(self.loop._selector, "register", side_effect=no_memory):
-            self.front.update_listening()
+            self.listener.update_listening()
         client = self.client(get())
         self.at_node().conn.send(SERVED)
         self.assert_received(client, b"$1\r\nV\r\n")
@@ -130,7 +130,7 @@
         used = self.budget.used
         with mock.patch.object(socket.socket, "setsockopt", side_effect=OSError(errno.EINVAL, "reset")):
             client = self.client()
-            self.until(lambda: self.front.clients, "the client")
+            self.until(lambda: self.listener.clients, "the client")
         self.assertEqual(self.budget.used, used + 1)
         client.conn.close()
-        self.until(lambda: not self.front.clients and self.budget.used == used, "the disconnect")
+        self.until(lambda: not self.listener.clients and self.budget.used == used, "the disconnect")
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -166,7 +166,7 @@
         handler = self.ask()
         self.at_node().conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
-        self.budget.limit, self.front.capacity.share = 4, 1  # one is reserved, the listener has one
+        self.budget.limit, self.listener.capacity.share = 4, 1  # one is reserved, the listener has one
         first_client = self.client(PING)
         self.assert_received(first_client, b"+PONG\r\n")
         self.assert_received(self.client(PING), b"+PONG\r\n")
@@ -176,7 +176,7 @@
     def test_accepting_resumes_when_any_descriptor_becomes_free(self) -> None:
         self.budget.used += 1  # for a connection to a server: no client's end can resume accepting
         waiting_client = self.client(PING)
-        self.until(lambda: not self.front._mask, "the listener to stop accepting")
+        self.until(lambda: not self.listener._mask, "the listener to stop accepting")
         self.budget.used -= 1
         self.assert_received(waiting_client, b"+PONG\r\n")
         self.assert_received(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
--- a/tests/net/test_idle_client_tracker.py
+++ b/tests/net/test_idle_client_tracker.py
@@ -15,8 +15,8 @@
         """Incident r0d6542: clients with one command filled the clients' share, and no other client could
         connect."""
         for _ in range(60):  # other clients sent a second command soon, or never
-            self.front.return_estimator.record_survived(1, 0, 6)
-            self.front.return_estimator.record_return(2, 30)
+            self.listener.return_estimator.record_survived(1, 0, 6)
+            self.listener.return_estimator.record_return(2, 30)
         share = self.SOCKETS // 3
         returning = self.client(PING)
         self.assert_received(returning, b"+PONG\r\n")
@@ -37,8 +37,8 @@
         second = self.client(PING)
         self.assert_received(second, b"+PONG\r\n")
         silent = self.client()
-        self.until(lambda: len(self.front.clients) == 3, "all clients")
-        tracker = self.front.idle_clients
+        self.until(lambda: len(self.listener.clients) == 3, "all clients")
+        tracker = self.listener.idle_clients
         self.assertEqual((len(tracker), tracker.silent_count), (3, 1))
         with mock.patch.object(idle_client_tracker, "SILENT_EVICTION_AGE_MS", 0.0):
             self.assertTrue(tracker.evict_one(self.loop.now()))
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -23,7 +23,7 @@
             self.until(lambda: any(peer.got for peer in self.node.peers), "a request")
             [node] = [peer for peer in self.node.peers if peer.got]
             node.got = b""
-            [connection] = list(self.front.clients)
+            [connection] = list(self.listener.clients)
             [request] = self.dispatcher._requests.unfinished()
             [attempt] = request.attempts
             [upstream] = list(self.links[NODE]._busy)
@@ -32,7 +32,7 @@
                 references += map(weakref.ref, (upstream, upstream.connection))
             if case == "client disconnected":
                 client.reset()
-                self.until(lambda: not self.front.clients, "the client's disconnect")
+                self.until(lambda: not self.listener.clients, "the client's disconnect")
                 self.dispatcher._abandon_attempt(attempt, Outcome.TIMEOUT)
             else:
                 node.reset() if case == "reset by the node" else node.conn.send(SERVED)
@@ -40,8 +40,8 @@
                 client.conn.close_gracefully()
                 self.until(lambda: not client.conn.is_open, "the close of the connection")  # noqa: B023
             del connection, request, attempt, upstream
-        self.front.add_lingering(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
-        self.assertEqual(len(self.front.lingering_connections), 1)
+        self.listener.add_lingering(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
+        self.assertEqual(len(self.listener.lingering_connections), 1)
         self.script.events.clear()
         self.assertEqual([ref() for ref in references if ref()], [])
 
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -178,7 +178,7 @@
             ORIGIN: self.link(self.origin.address, OriginProtocol(self.origin.address, [])),
         }
         self.dispatcher = self._dispatcher()
-        self.front = ClientListener(
+        self.listener = ClientListener(
             self.loop,
             self.budget,
             self.dispatcher,
@@ -186,8 +186,8 @@
             ["read"],
             self.TENANTS,
         )
-        self.address: Address = self.front._sock.getsockname()
-        self.addCleanup(self.front._sock.close)
+        self.address: Address = self.listener._sock.getsockname()
+        self.addCleanup(self.listener._sock.close)
 
     def _dispatcher(self) -> RequestDispatcher:
         settings = Settings([RequestClass(500, 1500)], max_attempts=2, max_retry_after=400.0)
