--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -120,7 +120,7 @@
     def test_a_retired_pool_finishes_attempts_in_flight_and_keeps_no_connection(self) -> None:
         handler = self.ask()
         node = self.at_node()
-        self.links[NODE].retire()
+        self.pools[NODE].retire()
         node.conn.send(SERVED)
         self.until(lambda: handler.answers and node.ends, "a reply and the end of the connection")
         self.assertEqual(handler.answers, [b"V"])
@@ -159,7 +159,7 @@
         self.at_node(0, self.origin).conn.send(OK_HTTP)
         self.until(lambda: handler.answers, "the origin's reply")
         self.assertEqual(
-            (handler.answers, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
+            (handler.answers, set(self.budget.idle_connections)), ([b"V"], set(self.pools[ORIGIN]._idle))
         )
 
     def test_clients_beyond_their_share_do_not_close_idle_connections_to_servers(self) -> None:
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -26,7 +26,7 @@
             [connection] = list(self.listener.clients)
             [request] = self.dispatcher._requests.unfinished()
             [attempt] = request.attempts
-            [upstream] = list(self.links[NODE]._busy)
+            [upstream] = list(self.pools[NODE]._busy)
             references += map(weakref.ref, (connection, connection.conn, request, attempt))
             if case == "reset by the node":
                 references += map(weakref.ref, (upstream, upstream.connection))
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -47,7 +47,7 @@
         return self.script.ends()[0][1]
 
     def origin_reader(self) -> OriginReplyReader:
-        [connection] = self.links[ORIGIN]._busy
+        [connection] = self.pools[ORIGIN]._busy
         assert isinstance(connection.reader, OriginReplyReader)
         return connection.reader
 
@@ -57,7 +57,7 @@
 
     def test_a_reset_before_the_last_byte_was_written_is_connect_failed(self) -> None:
         handler = self.ask()
-        [upstream] = self.links[NODE]._busy
+        [upstream] = self.pools[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = mock.patch(
             "tests.support.network_scene.CacheNodeProtocol.encode", return_value=b"x" * 150_000
@@ -166,7 +166,7 @@
     def test_the_deadline_forwarded_to_a_second_cache_node_is_the_remaining_time(self) -> None:
         second = RecordingListener(self.loop)
         self.addCleanup(second.close)
-        self.links[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
+        self.pools[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
         remaining = self.miss_after(80, self.command(b"OBJ.GET"), b"s-second")
         labels = self.at_node(0, second).got.split(b"\r\n")[8]
         self.assert_labels(labels, remaining)
@@ -189,8 +189,8 @@
         self.node.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
     def until_partly_written(self) -> None:
-        self.until(lambda: self.links[NODE]._busy, "a connection")
-        [upstream] = self.links[NODE]._busy
+        self.until(lambda: self.pools[NODE]._busy, "a connection")
+        [upstream] = self.pools[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.until(lambda: upstream.connection.bytes_sent, "some bytes")
         self.assertTrue(len(upstream.connection.outbox))
@@ -200,7 +200,7 @@
         self.until(lambda: self.script.ends(), "the end of the attempt")
         self.assertEqual(self.script.ends()[0][1], "CONNECT_FAILED")
         self.assertLess(self.loop.now() - self.write_started_at, self.MAX_DELAY_MS)
-        self.assertFalse(self.links[NODE]._busy)  # the connection is closed, so no byte follows
+        self.assertFalse(self.pools[NODE]._busy)  # the connection is closed, so no byte follows
 
     def test_the_rest_is_not_written_after_the_client_disconnected(self) -> None:
         self.block_next_write()
@@ -284,8 +284,8 @@
                 node.conn.send(SERVED)
                 self.until(lambda: self.script.ends()[-1][1] == "OK", "a reply")
                 node.got = b""
-                self.links[NODE].retire()
-                self.links[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
+                self.pools[NODE].retire()
+                self.pools[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
         self.assertEqual([end[1] for end in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
 
     def test_without_the_send_guard_the_invariants_count_the_violations(self) -> None:
@@ -297,7 +297,7 @@
         self.until(lambda: delayed.held, "a connection")
         client.conn.close()
         self.until(lambda: self.dispatcher.is_idle, "the request to be cancelled")
-        self.links[NODE].retire()
+        self.pools[NODE].retire()
         self.stand_still(200)
         with mock.patch("lupinladder.net.connection_pool.send_refusal", lambda *_: None):
             delayed.release()
@@ -310,7 +310,7 @@
         delayed = self.delay_connections()
         handler = self.ask()
         self.until(lambda: delayed.held, "a connection")
-        self.links[NODE].retire()
+        self.pools[NODE].retire()
         delayed.release()
         self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -173,7 +173,7 @@
         self.addCleanup(self.node.close)
         self.origin = RecordingListener(self.loop)
         self.addCleanup(self.origin.close)
-        self.links = {
+        self.pools = {
             NODE: self.link(self.node.address, CacheNodeProtocol([])),
             ORIGIN: self.link(self.origin.address, OriginProtocol(self.origin.address, [])),
         }
@@ -192,7 +192,7 @@
     def _dispatcher(self) -> RequestDispatcher:
         settings = Settings([RequestClass(500, 1500)], max_attempts=2, max_retry_after=400.0)
         with mock.patch.object(request_dispatcher, "Balancer", lambda *_: self.script):
-            return RequestDispatcher(self.loop, settings, 1, self.links.get, lambda: None, self.MAX_OPEN)
+            return RequestDispatcher(self.loop, settings, 1, self.pools.get, lambda: None, self.MAX_OPEN)
 
     def link(self, address: Address, protocol: UpstreamProtocol) -> ConnectionPool:
         """Create a pool of connections to this address."""
