--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -22,7 +22,7 @@
     def test_a_command_is_forwarded_with_only_the_deadline_changed(self) -> None:
         client = self.client(get())
         node = self.at_node()
-        head, deadline = node.got.rsplit(b"d=", 1)
+        head, deadline = node.received.rsplit(b"d=", 1)
         self.assertEqual(head, get().rsplit(b"d=", 1)[0])
         self.assertIn(int(deadline), range(1, 901))
         node.conn.send(SERVED)
@@ -34,8 +34,8 @@
         client = self.client(get())
         self.at_node().conn.send(MISSED)
         origin = self.at_node(0, self.origin)
-        self.assertIn(b"GET /1f HTTP/1.1\r\n", origin.got)
-        self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.got)
+        self.assertIn(b"GET /1f HTTP/1.1\r\n", origin.received)
+        self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.received)
         origin.conn.send(HTTP_OK)
         self.assert_received(client, b"$1\r\nV\r\n")
         self.assertEqual(self.script.ends(), [(0, "MISS", False), (1, "OK", True)])
@@ -46,7 +46,7 @@
         self.at_node().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
         self.script.react = once_to(ORIGIN)
-        client.got = b""
+        client.received = b""
         client.conn.send(get())
         self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
@@ -77,7 +77,7 @@
         second = self.at_node(1)
         second.conn.send(SERVED)
         self.until(lambda: self.script.ends(), "the second answer")
-        self.assertEqual(client.got, b"")  # the first reply is still pending
+        self.assertEqual(client.received, b"")  # the first reply is still pending
         first.conn.send(SERVED)
         value = b"$1\r\nV\r\n"
         self.assert_received(client, value + b"+PONG\r\n-ERR wrong number of arguments\r\n" + value)
@@ -119,8 +119,8 @@
         self.assertLessEqual(len(accepted.outbox), accepted.outbox.max_size)
         client.conn._sock.setblocking(False)
         client.conn._update_watch()
-        self.until(lambda: len(client.got) >= 32 * len(value), "all answers")
-        self.assertEqual(client.got, value * 32)
+        self.until(lambda: len(client.received) >= 32 * len(value), "all answers")
+        self.assertEqual(client.received, value * 32)
 
 
 class FramingErrors(NetworkScene):
@@ -128,7 +128,7 @@
         client = self.client(get() + b"GET / HTTP/1.1\r\n\r\n")
         self.at_node().conn.send(SERVED)
         self.until(lambda: client.ends, "a close")
-        self.assertEqual(client.got, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
+        self.assertEqual(client.received, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
         self.assertEqual(client.ends, [True])  # closed in order, not reset
 
     def test_a_client_that_keeps_sending_after_a_framing_error_is_closed(self) -> None:
@@ -163,7 +163,7 @@
         self.until(lambda: self.disconnected() == {1, 2}, "their disconnects")
         node.conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
-        self.assertEqual((client.got, client.ends), (b"", [True]))
+        self.assertEqual((client.received, client.ends), (b"", [True]))
         self.assertTrue(self.dispatcher.is_idle)
         self.assertFalse(self.listener.open_request_ids or self.listener.clients)
 
@@ -178,7 +178,9 @@
             self.until(lambda: self.disconnected() == {2}, "its disconnect")
         self.until(lambda: client.ends, "the close")
         # The client would take a reply behind the dropped one for the dropped one.
-        self.assertEqual((client.got, client.ends), (b"-BUSY\r\n+PONG\r\n-ERR unknown command\r\n", [True]))
+        self.assertEqual(
+            (client.received, client.ends), (b"-BUSY\r\n+PONG\r\n-ERR unknown command\r\n", [True])
+        )
 
     def test_unread_commands_are_dropped_when_the_client_disconnects(self) -> None:
         self.script.react = lambda event: []
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -57,10 +57,10 @@
         second_partial = self.client(PING)
         self.assert_received(second_partial, b"+PONG\r\n")
         second_partial.conn.send(get(b"b")[:-3])
-        for peer, got in ((silent, b""), (partial, b"-ERR"), (second_partial, b"+PONG\r\n-ERR")):
+        for peer, received in ((silent, b""), (partial, b"-ERR"), (second_partial, b"+PONG\r\n-ERR")):
             self.until_closed(peer)
-            self.assertTrue(peer.got.startswith(got) and bool(peer.got) == bool(got))
-        self.assertEqual((idle.got, idle.ends, waiting.ends), (b"+PONG\r\n", [], []))
+            self.assertTrue(peer.received.startswith(received) and bool(peer.received) == bool(received))
+        self.assertEqual((idle.received, idle.ends, waiting.ends), (b"+PONG\r\n", [], []))
         self.at_node().conn.send(SERVED)
         self.assert_received(waiting, b"$1\r\nV\r\n")
 
@@ -98,7 +98,7 @@
         self.shut_down_at_once()
         self.at_node().conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
-        self.assertEqual((client.got, client.ends), (b"+PONG\r\n$1\r\nV\r\n", [True]))
+        self.assertEqual((client.received, client.ends), (b"+PONG\r\n$1\r\nV\r\n", [True]))
         self.assertTrue(self.dispatcher.is_idle)
         client.conn.close()
         self.until(lambda: self.listener.is_finished, "the end of the shutdown")
@@ -111,7 +111,7 @@
         self.shut_down_at_once()
         self.at_node().conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
-        self.assertTrue(client.got.endswith(b"$1\r\nV\r\n"))
+        self.assertTrue(client.received.endswith(b"$1\r\nV\r\n"))
 
     def test_the_only_proxy_keeps_serving_after_its_signal_and_finally_sends_a_retry_time(self) -> None:
         client = self.client(PING)
@@ -129,8 +129,8 @@
             Settings([RequestClass(500, 1500)], max_retry_after=400), self.loop.now() - 1700
         )
         client.conn.send(get(b"b"))
-        self.until(lambda: b"-BUSY " in client.got, "a rejection")
-        self.assertIn(int(client.got.rsplit(b" ", 1)[1]), range(300, 401))
+        self.until(lambda: b"-BUSY " in client.received, "a rejection")
+        self.assertIn(int(client.received.rsplit(b" ", 1)[1]), range(300, 401))
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
         self.listener._close_idle_clients()
         self.until(lambda: client.ends, "the close")
@@ -154,7 +154,7 @@
         self.script.react = lambda event: [Reject(1)]
         self.dispatcher.notify(TimerFired(1))
         self.until(lambda: client.ends, "the close")
-        self.assertEqual(client.got, b"-BUSY\r\n-BUSY\r\n")
+        self.assertEqual(client.received, b"-BUSY\r\n-BUSY\r\n")
         self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
 
     def test_a_request_open_shortly_before_the_kill_is_answered_before_its_deadline(
@@ -168,7 +168,7 @@
         with mock.patch.object(self.dispatcher, "shutdown_schedule", lambda: nearly_over):
             self.listener.shut_down()
         self.until(lambda: client.ends, "the close")
-        self.assertEqual(client.got, b"-ERR failed\r\n")
+        self.assertEqual(client.received, b"-ERR failed\r\n")
         self.assertLess(self.loop.now(), nearly_over.killed_at)
 
     def test_clients_in_the_backlog_are_answered_when_the_listener_closes(self) -> None:
@@ -220,7 +220,7 @@
         partial_clients[1].conn.close()
         self.until(lambda: self.listener.is_finished, "the end of the shutdown")
         replies = [b"$1\r\nV\r\n", b"-ERR Protocol error: command not ended in time\r\n"]
-        self.assertEqual([connection.got for connection in partial_clients], replies)
+        self.assertEqual([connection.received for connection in partial_clients], replies)
 
     def test_a_client_whose_reply_is_not_completely_sent_is_not_idle(self) -> None:
         client = self.client(get())
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -50,7 +50,7 @@
         for n in (0, 1):
             self.at_node(n).conn.send(SERVED)
             self.until(lambda: len(self.script.ends()) > n, "a reply")  # noqa: B023
-            self.node.peers[n].got = b""
+            self.node.peers[n].received = b""
         started = self.loop.now()
         self.ask()
         self.at_node(1).conn.send(SERVED)
@@ -77,16 +77,18 @@
                 other_peer = self.peer_with_request(listener, other_than=peer)
                 other_peer.conn.send(reply)
                 self.until(lambda: second.answers, "the second reply")  # noqa: B023
-                self.assertEqual((second.answers, peer.got), ([b"V"], b""))
+                self.assertEqual((second.answers, peer.received), ([b"V"], b""))
                 self.assertGreater(len(listener.peers), connections_before)
-                other_peer.got = b""
+                other_peer.received = b""
 
     def peer_with_request(
         self, listener: RecordingListener, other_than: RecordingPeer | None = None
     ) -> RecordingPeer:
         """The only connection at a listener on which a request was received, except `other_than`."""
-        self.until(lambda: any(peer.got for peer in listener.peers if peer is not other_than), "a request")
-        [peer] = [peer for peer in listener.peers if peer.got]
+        self.until(
+            lambda: any(peer.received for peer in listener.peers if peer is not other_than), "a request"
+        )
+        [peer] = [peer for peer in listener.peers if peer.received]
         return peer
 
     def ask_again_when_served(
@@ -101,7 +103,7 @@
             second.append(self.ask())
 
         with mock.patch.object(first, "on_served", on_served):
-            peer.got = b""
+            peer.received = b""
             peer.conn.send(data)
             self.until(lambda: second, "a reply")
         return second[0]
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -16,7 +16,7 @@
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
         peer = self.follow(b"", delta(9, address="127.0.0.1:6380"))
-        self.assertIn(b"GET /v1/endpoints?stream=1&index=4 HTTP/1.1\r\n", peer.got)
+        self.assertIn(b"GET /v1/endpoints?stream=1&index=4 HTTP/1.1\r\n", peer.received)
         self.until(lambda: self.updates, "a change")
         self.assertEqual((self.updates[0].kind, self.updates[0].version), (EndpointUpdateKind.DELTA, 9))
         self.assertIsNot(self.registry.pool_for(b"s-1"), pool)
@@ -26,7 +26,7 @@
         self.assertIsNone(self.registry.pool_for(b"s-1"))
         self.assertEqual(self.update_kinds(), ["DELTA", "DELTA", "FAILED"])
         self.assertEqual(len(self.discovery.peers), 1)
-        self.assertIn(b"index=11", self.follow(json.dumps(listing()).encode()).got)
+        self.assertIn(b"index=11", self.follow(json.dumps(listing()).encode()).received)
         self.until(lambda: len(self.updates) == 4, "a snapshot")
         self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is listed again
         self.assertEqual([endpoint.server for endpoint in self.updates[3].endpoints], [b"s-1"])
@@ -110,7 +110,7 @@
         self.registry.move_watch(self.discovery.address)  # the current address: no request
         self.registry.move_watch(self.moved.address)
         current = self.at_node(0, self.moved)
-        self.assertIn(b"index=4 ", current.got)
+        self.assertIn(b"index=4 ", current.received)
         current.conn.send(STREAM_HEAD)
         for peer, version, status, is_ready in (
             (previous, 9, "leaving", False),
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -20,9 +20,9 @@
         self.addCleanup(gc.enable)
         for case in ("answered", "reset by the node", "client disconnected"):
             client = self.client(get())
-            self.until(lambda: any(peer.got for peer in self.node.peers), "a request")
-            [node] = [peer for peer in self.node.peers if peer.got]
-            node.got = b""
+            self.until(lambda: any(peer.received for peer in self.node.peers), "a request")
+            [node] = [peer for peer in self.node.peers if peer.received]
+            node.received = b""
             [connection] = list(self.listener.clients)
             [request] = self.dispatcher._requests.unfinished()
             [attempt] = request.attempts
@@ -36,7 +36,7 @@
                 self.dispatcher._abandon_attempt(attempt, Outcome.TIMEOUT)
             else:
                 node.reset() if case == "reset by the node" else node.conn.send(SERVED)
-                self.until(lambda: client.got, "an answer")  # noqa: B023
+                self.until(lambda: client.received, "an answer")  # noqa: B023
                 client.conn.close_gracefully()
                 self.until(lambda: not client.conn.is_open, "the close of the connection")  # noqa: B023
             del connection, request, attempt, upstream
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -155,7 +155,7 @@
     def check_deadline_at_origin(self, data: bytes) -> None:
         remaining = self.miss_after(80, data, ORIGIN)
         origin = self.at_node(0, self.origin)
-        self.assert_labels(origin.got.split(b"X-Labels: ")[1].split(b"\r\n")[0], remaining)
+        self.assert_labels(origin.received.split(b"X-Labels: ")[1].split(b"\r\n")[0], remaining)
 
     def test_the_deadline_forwarded_to_the_origin_after_a_read_miss_is_the_remaining_time(self) -> None:
         self.check_deadline_at_origin(self.command(b"OBJ.GET"))
@@ -168,7 +168,7 @@
         self.addCleanup(second.close)
         self.pools[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
         remaining = self.miss_after(80, self.command(b"OBJ.GET"), b"s-second")
-        labels = self.at_node(0, second).got.split(b"\r\n")[8]
+        labels = self.at_node(0, second).received.split(b"\r\n")[8]
         self.assert_labels(labels, remaining)
 
 
@@ -280,10 +280,10 @@
                 self.until(lambda: not upstream.connecting, "the connection")  # noqa: B023
                 self.ask()  # sent on the same connection, as its first command
                 node = self.at_node(before)
-                self.assertEqual(node.got.count(b"OBJ.GET"), 1)
+                self.assertEqual(node.received.count(b"OBJ.GET"), 1)
                 node.conn.send(SERVED)
                 self.until(lambda: self.script.ends()[-1][1] == "OK", "a reply")
-                node.got = b""
+                node.received = b""
                 self.pools[NODE].retire()
                 self.pools[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
         self.assertEqual([end[1] for end in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
@@ -315,7 +315,7 @@
         self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
         self.until(lambda: self.node.peers and self.node.peers[0].ends, "the end of the connection")
-        self.assertEqual(self.node.peers[0].got, b"")
+        self.assertEqual(self.node.peers[0].received, b"")
 
     def test_no_repeat_is_sent_after_its_deduplication_window(self) -> None:
         self.script.react = lambda e: (
@@ -330,7 +330,7 @@
         delayed.release()
         self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
-        self.assertEqual(self.node.peers[0].got, b"")
+        self.assertEqual(self.node.peers[0].received, b"")
 
     def test_the_wait_for_a_connection_is_subtracted_from_the_forwarded_deadline(self) -> None:
         for server, listener in ((NODE, self.node), (ORIGIN, self.origin)):
@@ -343,7 +343,7 @@
                 wait_until(self, requested_at + 60)
                 remaining = 900 - (self.loop.now() - requested_at)
                 delayed.release()
-                forwarded_deadline = self.at_node(0, listener).got.split(b"d=")[1].split(b"\r\n")[0]
+                forwarded_deadline = self.at_node(0, listener).received.split(b"d=")[1].split(b"\r\n")[0]
                 self.assertLessEqual(int(forwarded_deadline), remaining + 0.5)
 
     def test_an_attempt_that_is_unsent_at_its_deadline_is_connect_failed(self) -> None:
@@ -361,7 +361,7 @@
         self.until(lambda: second.answers, "the second to time out")
         delayed.release()
         node = self.at_node()
-        self.until(lambda: node.got.count(b"OBJ.GET") == 2, "two commands")
+        self.until(lambda: node.received.count(b"OBJ.GET") == 2, "two commands")
         node.conn.send(SERVED * 2)
         self.until(lambda: first.answers and third.answers, "both replies")
-        self.assertEqual((len(self.node.peers), node.got.count(b"OBJ.GET")), (1, 2))
+        self.assertEqual((len(self.node.peers), node.received.count(b"OBJ.GET")), (1, 2))
--- a/tests/support/large_lists.py
+++ b/tests/support/large_lists.py
@@ -15,7 +15,7 @@
 
     def on_data(self) -> None:
         data = self.conn.inbox.read(len(self.conn.inbox))
-        self.got += data
+        self.received += data
         self.conn.send(SERVED * data.count(b"OBJ.GET"))
 
 
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -40,7 +40,7 @@
     """The remote end of a connection. It records the bytes received and how the connection ended."""
 
     def __init__(self) -> None:
-        self.got = b""
+        self.received = b""
         self.ends = list[bool]()  # by_peer of each on_closed
         self.conn: Connection
 
@@ -54,7 +54,7 @@
         return True
 
     def on_data(self) -> None:
-        self.got += self.conn.inbox.read(len(self.conn.inbox))
+        self.received += self.conn.inbox.read(len(self.conn.inbox))
 
     def on_closed(self, by_peer: bool) -> None:
         self.ends.append(by_peer)
@@ -243,10 +243,10 @@
     def at_node(self, number: int = 0, listener: RecordingListener | None = None) -> RecordingPeer:
         """Wait for a request on connection `number` of the node or of `listener`; return its remote end."""
         peers = (listener or self.node).peers
-        self.until(lambda: len(peers) > number and peers[number].got, "a request")
+        self.until(lambda: len(peers) > number and peers[number].received, "a request")
         return peers[number]
 
     def assert_received(self, peer: RecordingPeer, data: bytes) -> None:
         """Wait until this peer has received as many bytes as `data` has, and check that they are equal."""
-        self.until(lambda: len(peer.got) >= len(data) or peer.ends, "an answer")
-        self.assertEqual(peer.got, data)
+        self.until(lambda: len(peer.received) >= len(data) or peer.ends, "an answer")
+        self.assertEqual(peer.received, data)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -46,12 +46,12 @@
     def assert_answered(self, number: int) -> None:
         """Send a read and check that the value arrives within the client timeout."""
         client: RecordingPeer = self.serving_client
-        client.got = b""
+        client.received = b""
         sent_at = self.loop.now()
         client.conn.send(get(wait=WAIT_MS))
-        self.until(lambda: client.got or client.ends, f"answer {number}")
+        self.until(lambda: client.received or client.ends, f"answer {number}")
         waited = self.loop.now() - sent_at
-        self.assertEqual(client.got, VALUE, f"answer {number}, after {waited:.0f} ms")
+        self.assertEqual(client.received, VALUE, f"answer {number}, after {waited:.0f} ms")
         self.assertLess(waited, WAIT_MS)
 
     def assert_requests_answered(self) -> None:
@@ -89,10 +89,12 @@
         self.process.send_signal(signal.SIGTERM)
         client = self.serving_client
         while not client.ends:
-            client.got = b""
+            client.received = b""
             client.conn.send(get(wait=WAIT_MS))
-            self.until(lambda: client.got or client.ends, "an answer, or a close that crossed the request")
-            if client.got:
-                self.assertIn(client.got.split()[0], (b"$1", b"-BUSY"), client.got)
+            self.until(
+                lambda: client.received or client.ends, "an answer, or a close that crossed the request"
+            )
+            if client.received:
+                self.assertIn(client.received.split()[0], (b"$1", b"-BUSY"), client.received)
         client.conn.close()
         self.assertEqual(self.process.wait(END_TIMEOUT_S), 0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -123,7 +123,7 @@
         def is_served() -> bool:
             if not clients or clients[-1].ends:
                 clients.append(self.client(PING))
-            return clients[-1].got == b"+PONG\r\n"
+            return clients[-1].received == b"+PONG\r\n"
 
         self.loop.call_at(self.loop.now(), lambda: None)
         self.until(is_served, "an answer")
@@ -150,8 +150,8 @@
             self.config_path.write_text(json.dumps(config))
             for _ in range(50):
                 process.send_signal(signal.SIGHUP)
-            self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
-            self.assertIn(b"index=4 ", listeners[1].peers[0].got)
+            self.until(lambda: listeners[1].peers and listeners[1].peers[0].received, "the second watch")
+            self.assertIn(b"index=4 ", listeners[1].peers[0].received)
             node.conn.send(SERVED)
             self.assert_received(client, b"$1\r\nV\r\n")
             process.send_signal(signal.SIGTERM)
@@ -178,7 +178,7 @@
             new_path = self.config_path.with_suffix(".new")
             new_path.write_text(json.dumps(config))
             new_path.replace(self.config_path)
-            self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
+            self.until(lambda: listeners[1].peers and listeners[1].peers[0].received, "the second watch")
             process.send_signal(signal.SIGTERM)
             process.communicate(timeout=END_TIMEOUT_S)
         self.assertEqual(process.returncode, 0)
@@ -221,9 +221,9 @@
     def is_rejected(self) -> bool:
         """Whether a request is rejected, as no node may receive it."""
         client = self.client(get(wait=100))
-        self.until(lambda: client.got, "an answer")
+        self.until(lambda: client.received, "an answer")
         client.conn.close()
-        return client.got.startswith(b"-BUSY")
+        return client.received.startswith(b"-BUSY")
 
 
 class Shutdown(ProxyProcess):
@@ -240,7 +240,7 @@
             self.assertEqual((idle.ends, client.ends), ([True], []))
             node.conn.send(SERVED)
             self.until(lambda: client.ends, "the last answer and the close")
-            self.assertEqual((client.got, client.ends), (b"$1\r\nV\r\n", [True]))
+            self.assertEqual((client.received, client.ends), (b"$1\r\nV\r\n", [True]))
             for peer in (client, idle, late):
                 peer.conn.close()
             process.communicate(timeout=END_TIMEOUT_S)
