--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -203,7 +203,7 @@
         self.until(lambda: self.listener.clients, "the client")
         client.conn._sock.send(get())
         client.conn.close()
-        self.stand_still(1000)
+        self.stall(1000)
         self.until(lambda: not self.listener.clients, "the disconnect")
         self.assertFalse([e for e in self.script.events if isinstance(e, RequestReceived)])
 
@@ -219,7 +219,7 @@
         client = self.client(get())
         self.at_node().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
         client.conn.close()
-        self.stand_still(300)
+        self.stall(300)
         self.until(lambda: len(self.script.ends()) == 2, "the ends of both attempts")
         self.assertEqual(self.script.ends()[1][1], "NOT_STARTED")
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -78,7 +78,7 @@
             self.addCleanup(client.close)
             client.sendall(get(b"%c" % (33 + number), 900))
         self.loop._iteration_started_at = self.loop.now()
-        self.stand_still(self.STALL_MS)
+        self.stall(self.STALL_MS)
         self.until(lambda: len(self.script.events) >= len(clients), "the requests")
         timeouts = [event.timeout for event in self.script.events if isinstance(event, RequestReceived)]
         self.assertLessEqual(max(timeouts), 900 - self.STALL_MS)
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -298,7 +298,7 @@
         client.conn.close()
         self.until(lambda: self.dispatcher.is_idle, "the request to be cancelled")
         self.pools[NODE].retire()
-        self.stand_still(200)
+        self.stall(200)
         with mock.patch("lupinladder.net.connection_pool.send_refusal", lambda *_: None):
             delayed.release()
             self.at_node()
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -224,7 +224,7 @@
         peer.conn.send(data)
         return peer
 
-    def stand_still(self, ms: float) -> None:
+    def stall(self, ms: float) -> None:
         """Advance the clock by `ms` between two loop iterations, as when the process gets no CPU time."""
         monotonic = time.monotonic
         clock_patch = mock.patch("time.monotonic", lambda: monotonic() + ms / 1000)
