--- a/tests/balancing/test_slot_table.py
+++ b/tests/balancing/test_slot_table.py
@@ -22,11 +22,11 @@
     slots = SlotTable()
     for server in fleet:
         slots.add(server)
-    rebuild_step(slots)
+    rebuild_all(slots)
     return slots
 
 
-def rebuild_step(slots: SlotTable) -> None:
+def rebuild_all(slots: SlotTable) -> None:
     """Take all steps of the rebuild."""
     while not slots.rebuild_step():
         pass
