--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -27,10 +27,10 @@
         self.assertIn(int(deadline), range(1, 901))
         node.conn.send(SERVED)
         self.assert_received(client, b"$1\r\nV\r\n")
-        self.assertEqual(self.script.ends(), [(0, "OK", True)])
+        self.assertEqual(self.balancer.ends(), [(0, "OK", True)])
 
     def test_a_miss_is_sent_to_the_origin(self) -> None:
-        self.script.react = once_to(then=StartAttempt(1, ORIGIN))
+        self.balancer.react = once_to(then=StartAttempt(1, ORIGIN))
         client = self.client(get())
         self.at_node().conn.send(MISSED)
         origin = self.at_node(0, self.origin)
@@ -38,21 +38,21 @@
         self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.received)
         origin.conn.send(HTTP_OK)
         self.assert_received(client, b"$1\r\nV\r\n")
-        self.assertEqual(self.script.ends(), [(0, "MISS", False), (1, "OK", True)])
+        self.assertEqual(self.balancer.ends(), [(0, "MISS", False), (1, "OK", True)])
 
     def test_a_value_larger_than_clients_may_store_is_served_whole(self) -> None:
         value = b"x" * 400_000
         client = self.client(get())
         self.at_node().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
-        self.script.react = once_to(ORIGIN)
+        self.balancer.react = once_to(ORIGIN)
         client.received = b""
         client.conn.send(get())
         self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
 
     def test_a_rejection_contains_the_time_after_which_to_retry(self) -> None:
-        self.script.react = lambda event: [Reject(event.request_id, 75.0)]
+        self.balancer.react = lambda event: [Reject(event.request_id, 75.0)]
         self.assert_received(self.client(get()), b"-BUSY 75\r\n")
 
     def test_time_unread_during_a_long_loop_iteration_is_subtracted_from_the_timeout(self) -> None:
@@ -60,11 +60,11 @@
         self.assert_received(client, b"+PONG\r\n")
         for request_id, latency, timeout in ((b"a", 0.4, 900), (b"b", 300.0, 600), (b"c", 5000.0, 1)):
             client.conn.send(get(request_id))
-            count = len(self.script.events)
-            while len(self.script.events) == count:
+            count = len(self.balancer.events)
+            while len(self.balancer.events) == count:
                 self.loop._iteration_started_at -= latency
                 self.loop.run_once()
-            [request] = [e for e in self.script.events[count:] if isinstance(e, RequestReceived)]
+            [request] = [e for e in self.balancer.events[count:] if isinstance(e, RequestReceived)]
             self.assertTrue(max(timeout - 20, 1) <= request.timeout <= timeout, request.timeout)
             self.assertTrue(latency > 1 or request.timeout == timeout)  # a short iteration is not subtracted
 
@@ -76,7 +76,7 @@
         first = self.at_node(0)
         second = self.at_node(1)
         second.conn.send(SERVED)
-        self.until(lambda: self.script.ends(), "the second answer")
+        self.until(lambda: self.balancer.ends(), "the second answer")
         self.assertEqual(client.received, b"")  # the first reply is still pending
         first.conn.send(SERVED)
         value = b"$1\r\nV\r\n"
@@ -87,30 +87,30 @@
         self.assert_received(client, b"+PONG\r\n" * 9000)
 
     def test_time_unread_behind_a_full_pipeline_is_subtracted_from_the_timeout(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         self.client(
             b"".join(get(b"%c" % letter) for letter in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 1])
         )
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         full_until = self.loop.now() + 200
         self.loop.call_at(full_until, lambda: None)
         self.until(lambda: self.loop.now() >= full_until, "200 ms with a full pipeline")
-        self.script.react = lambda event: [Reject(1)] if isinstance(event, TimerFired) else []
+        self.balancer.react = lambda event: [Reject(1)] if isinstance(event, TimerFired) else []
         self.dispatcher.notify(TimerFired(1))
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH + 2, "the next command")
-        last = self.script.events[-1]
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH + 2, "the next command")
+        last = self.balancer.events[-1]
         assert isinstance(last, RequestReceived)
         self.assertTrue(600 <= last.timeout <= 700, last.timeout)
 
     def test_a_slow_reader_is_not_read_from_and_receives_every_reply(self) -> None:
         value = b"$65536\r\n" + b"x" * 65536 + b"\r\n"
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client()
         client.conn._loop.watch(client.conn._sock, client.conn._mask, 0, client.conn._on_ready)
         client.conn._mask = 0  # the client does not read
         client.conn._sock.setblocking(True)
         client.conn._sock.sendall(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:40]))
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         for request in self.dispatcher._requests.unfinished():
             assert request.handler
             request.handler.on_served(b"x" * 65536)
@@ -150,7 +150,7 @@
 
 class Disconnects(NetworkScene):
     def disconnected(self) -> set[int]:
-        return {event.request_id for event in self.script.events if isinstance(event, ClientDisconnected)}
+        return {event.request_id for event in self.balancer.events if isinstance(event, ClientDisconnected)}
 
     def test_a_client_that_ends_its_sending_or_resets_has_disconnected(self) -> None:
         client = self.client(get())
@@ -168,11 +168,11 @@
         self.assertFalse(self.listener.open_request_ids or self.listener.clients)
 
     def test_replies_already_encoded_are_written_after_the_client_ended_its_sending(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(get() + PING + b"*1\r\n$3\r\nBAD\r\n" + get(b"b") + PING)
-        self.until(lambda: len(self.script.events) == 2, "both commands")
+        self.until(lambda: len(self.balancer.events) == 2, "both commands")
         with mock.patch.object(Connection, "_flush"):  # the system takes nothing
-            self.script.react = lambda event: [Reject(1)]
+            self.balancer.react = lambda event: [Reject(1)]
             self.dispatcher.notify(TimerFired(1))
             client.conn._sock.shutdown(socket.SHUT_WR)
             self.until(lambda: self.disconnected() == {2}, "its disconnect")
@@ -183,14 +183,14 @@
         )
 
     def test_unread_commands_are_dropped_when_the_client_disconnects(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(
             b"".join(get(bytes([letter])) for letter in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 8])
         )
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         client.conn._sock.shutdown(socket.SHUT_WR)
         self.until(lambda: client.ends, "the close")
-        received = [e for e in self.script.events if isinstance(e, RequestReceived)]
+        received = [e for e in self.balancer.events if isinstance(e, RequestReceived)]
         self.assertEqual((len(received), len(self.disconnected())), (MAX_PIPELINE_DEPTH, MAX_PIPELINE_DEPTH))
         self.assertTrue(self.dispatcher.is_idle)
 
@@ -205,11 +205,11 @@
         client.conn.close()
         self.stall(1000)
         self.until(lambda: not self.listener.clients, "the disconnect")
-        self.assertFalse([e for e in self.script.events if isinstance(e, RequestReceived)])
+        self.assertFalse([e for e in self.balancer.events if isinstance(e, RequestReceived)])
 
     def test_a_failed_attempt_is_not_retried_if_the_disconnect_of_its_client_is_unread(self) -> None:
         retries = [StartAttempt(1, NODE)]
-        self.script.react = lambda e: (
+        self.balancer.react = lambda e: (
             [StartAttempt(e.request_id, NODE)]
             if isinstance(e, RequestReceived)
             else [retries.pop()]
@@ -220,13 +220,13 @@
         self.at_node().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
         client.conn.close()
         self.stall(300)
-        self.until(lambda: len(self.script.ends()) == 2, "the ends of both attempts")
-        self.assertEqual(self.script.ends()[1][1], "NOT_STARTED")
+        self.until(lambda: len(self.balancer.ends()) == 2, "the ends of both attempts")
+        self.assertEqual(self.balancer.ends()[1][1], "NOT_STARTED")
 
     def test_a_disconnect_behind_more_bytes_than_are_read_is_detected(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:32]))
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         [accepted] = [one.conn for one in self.listener.clients]
         while accepted.inbox.available_space:
             client.conn._sock.send(b"x" * min(accepted.inbox.available_space, 4096))
@@ -247,21 +247,21 @@
         self.at_node(1)
         second = self.client(get() + get(b"b"))
         self.assert_received(second, b"-ERR id is that of another open query\r\n" * 2)
-        self.assertEqual(len(self.script.events), 2)
+        self.assertEqual(len(self.balancer.events), 2)
         node.conn.send(SERVED)
         self.assert_received(first, b"$1\r\nV\r\n")
         disconnecting.reset()
         self.until(lambda: len(self.listener.clients) == 2, "its disconnect")
         second.conn.send(get() + get(b"b"))
-        self.until(lambda: sum(isinstance(e, RequestReceived) for e in self.script.events) == 4, "both")
+        self.until(lambda: sum(isinstance(e, RequestReceived) for e in self.balancer.events) == 4, "both")
 
     def test_an_id_is_released_once_and_not_again_when_its_first_client_disconnects(self) -> None:
-        self.script.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
+        self.balancer.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
         first = self.client(get() + get(b"b"))
-        self.until(lambda: len(self.script.events) == 2, "both requests")
+        self.until(lambda: len(self.balancer.events) == 2, "both requests")
         self.dispatcher.notify(TimerFired(1))  # b has its reply, which waits for the reply to a
         second = self.client(get(b"b"))
-        self.until(lambda: len(self.script.events) == 4, "the second request b")
+        self.until(lambda: len(self.balancer.events) == 4, "the second request b")
         first.reset()
         self.until(lambda: len(self.listener.clients) == 1, "the disconnect of the first client")
         self.assert_received(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
@@ -278,5 +278,5 @@
             )
         )
         self.at_node()
-        self.assertEqual([e.tenant for e in self.script.events if isinstance(e, RequestReceived)], [1])
+        self.assertEqual([e.tenant for e in self.balancer.events if isinstance(e, RequestReceived)], [1])
         self.assert_received(client, b"-ERR tenant is unknown\r\n")
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -70,7 +70,7 @@
 
     def test_time_unread_before_the_accept_is_subtracted_from_the_timeout(self) -> None:
         """This happens at a slow start: the socket listens, but no connection is accepted yet."""
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         count = MAX_ACCEPTS_PER_EVENT + 3
         self.budget.limit = 4 * count
         clients = [socket.create_connection(self.address) for _ in range(count)]
@@ -79,8 +79,8 @@
             client.sendall(get(b"%c" % (33 + number), 900))
         self.loop._iteration_started_at = self.loop.now()
         self.stall(self.STALL_MS)
-        self.until(lambda: len(self.script.events) >= len(clients), "the requests")
-        timeouts = [event.timeout for event in self.script.events if isinstance(event, RequestReceived)]
+        self.until(lambda: len(self.balancer.events) >= len(clients), "the requests")
+        timeouts = [event.timeout for event in self.balancer.events if isinstance(event, RequestReceived)]
         self.assertLessEqual(max(timeouts), 900 - self.STALL_MS)
 
 
@@ -131,7 +131,7 @@
         client.conn.send(get(b"b"))
         self.until(lambda: b"-BUSY " in client.received, "a rejection")
         self.assertIn(int(client.received.rsplit(b" ", 1)[1]), range(300, 401))
-        self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
+        self.assertEqual(len([e for e in self.balancer.events if isinstance(e, RequestReceived)]), 1)
         self.listener._close_idle_clients()
         self.until(lambda: client.ends, "the close")
         client.conn.close()
@@ -140,9 +140,9 @@
     def test_one_of_several_proxies_rejects_a_request_that_the_kill_would_leave_unanswered(
         self,
     ) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(get())
-        self.until(lambda: self.script.events, "a request")
+        self.until(lambda: self.balancer.events, "a request")
         self.shut_down_at_once()
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
         self.listener.shutdown = ShutdownSchedule(settings, self.loop.now() - 1700)
@@ -151,16 +151,16 @@
             lambda: any(len(accepted._pending_replies) == 2 for accepted in self.listener.clients),
             "the second command",
         )
-        self.script.react = lambda event: [Reject(1)]
+        self.balancer.react = lambda event: [Reject(1)]
         self.dispatcher.notify(TimerFired(1))
         self.until(lambda: client.ends, "the close")
         self.assertEqual(client.received, b"-BUSY\r\n-BUSY\r\n")
-        self.assertEqual(len([e for e in self.script.events if isinstance(e, RequestReceived)]), 1)
+        self.assertEqual(len([e for e in self.balancer.events if isinstance(e, RequestReceived)]), 1)
 
     def test_a_request_open_shortly_before_the_kill_is_answered_before_its_deadline(
         self,
     ) -> None:
-        self.script.react = once_to()
+        self.balancer.react = once_to()
         client = self.client(get())
         self.at_node()  # the node does not reply during the whole shutdown
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
@@ -227,7 +227,7 @@
         node = self.at_node()
         with mock.patch.object(Connection, "_flush"):  # the system takes no bytes
             node.conn._sock.sendall(SERVED)
-            self.until(lambda: self.script.ends(), "the answer")
+            self.until(lambda: self.balancer.ends(), "the answer")
             self.assertFalse(
                 self.listener.idle_clients or self.listener.idle_clients.evict_one(self.loop.now())
             )
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -49,7 +49,7 @@
             self.ask()
         for n in (0, 1):
             self.at_node(n).conn.send(SERVED)
-            self.until(lambda: len(self.script.ends()) > n, "a reply")  # noqa: B023
+            self.until(lambda: len(self.balancer.ends()) > n, "a reply")  # noqa: B023
             self.node.peers[n].received = b""
         started = self.loop.now()
         self.ask()
@@ -69,7 +69,7 @@
         )
         for listener, server, reply, excess in cases:
             with self.subTest(server=server, excess=excess):
-                self.script.react = once_to(server)
+                self.balancer.react = once_to(server)
                 connections_before = len(listener.peers)
                 first = self.ask()
                 peer = self.peer_with_request(listener)
@@ -112,7 +112,7 @@
         self.ask()
         node = self.at_node()
         node.conn.send(SERVED)
-        self.until(lambda: self.script.ends(), "a reply")
+        self.until(lambda: self.balancer.ends(), "a reply")
         node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
         handler = self.ask()
         self.at_node(1).conn.send(SERVED)
@@ -136,7 +136,7 @@
     def test_attempts_share_a_connection_up_to_the_limit(self) -> None:
         handlers = [self.ask(), self.ask(60), self.ask()]
         self.until(lambda: handlers[2].answers, "the third to be refused")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
         node = self.at_node()
         self.until(lambda: handlers[1].answers, "the second to time out")
         self.assertEqual(handlers[0].answers, [])  # the other attempt on the connection is not aborted
@@ -156,7 +156,7 @@
         handler = self.ask()
         self.at_node(1).conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
-        self.script.react = once_to(ORIGIN)
+        self.balancer.react = once_to(ORIGIN)
         handler = self.ask()
         self.at_node(0, self.origin).conn.send(OK_HTTP)
         self.until(lambda: handler.answers, "the origin's reply")
@@ -185,7 +185,7 @@
         self.until(lambda: waiting_client.ends, "the idle client to be closed")
 
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         handlers = [self.ask(), self.ask(), self.ask()]
         self.assertEqual(self.ask().answers, [400.0])
         self.assertEqual([handler.answers for handler in handlers], [[], [], []])
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -42,7 +42,7 @@
             del connection, request, attempt, upstream
         self.listener.add_lingering(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
         self.assertEqual(len(self.listener.lingering_connections), 1)
-        self.script.events.clear()
+        self.balancer.events.clear()
         self.assertEqual([ref() for ref in references if ref()], [])
 
 
@@ -53,33 +53,33 @@
                 return [StartAttempt(event.request_id, NODE)] * 3
             return [StartAttempt(event.request_id, NODE)] if event.attempt == 0 else []
 
-        self.script.react = react
+        self.balancer.react = react
         handler = self.ask()
-        self.assertEqual(self.script.ends(), [(2, "NOT_STARTED", False)])
+        self.assertEqual(self.balancer.ends(), [(2, "NOT_STARTED", False)])
         self.at_node(0).conn.send(SERVED)
         self.at_node(1).conn.send(SERVED)
-        self.until(lambda: len(self.script.ends()) == 4, "all ends")
+        self.until(lambda: len(self.balancer.ends()) == 4, "all ends")
         self.assertEqual(handler.answers, [b"V"])
-        self.assertIn((3, "NOT_STARTED", True), self.script.ends())
-        self.assertIn((1, "OK", True), self.script.ends())
+        self.assertIn((3, "NOT_STARTED", True), self.balancer.ends())
+        self.assertIn((1, "OK", True), self.balancer.ends())
 
     def test_an_expiry_is_limited_to_the_clients_deadline_and_takes_effect_at_once_if_past(self) -> None:
-        self.script.react = lambda event: (
+        self.balancer.react = lambda event: (
             [StartAttempt(event.request_id, NODE, event.request_id * 1e15)]
             if isinstance(event, RequestReceived)
             else []
         )
         started_at = self.loop.now()
         self.ask(50)
-        self.until(lambda: self.script.ends(), "the deadline")
-        self.assertEqual(self.script.ends(), [(0, "TIMEOUT", False)])
+        self.until(lambda: self.balancer.ends(), "the deadline")
+        self.assertEqual(self.balancer.ends(), [(0, "TIMEOUT", False)])
         self.assertLess(self.loop.now() - started_at, 4000)
         started_at = self.loop.now()
-        self.script.react = lambda event: (
+        self.balancer.react = lambda event: (
             [StartAttempt(event.request_id, NODE, 1.0)] if isinstance(event, RequestReceived) else []
         )
         self.ask()
-        self.until(lambda: len(self.script.ends()) == 2, "the immediate end")
+        self.until(lambda: len(self.balancer.ends()) == 2, "the immediate end")
         self.assertLess(self.loop.now() - started_at, 800)
 
 
@@ -94,19 +94,19 @@
                 ]
             return [Reject(event.request_id), Fail(event.request_id), Reject(77)]
 
-        self.script.react = react
+        self.balancer.react = react
         handler = self.ask()
-        self.assertEqual((handler.answers, self.script.ends()), ([0.0], [(0, "CANCELLED", False)]))
+        self.assertEqual((handler.answers, self.balancer.ends()), ([0.0], [(0, "CANCELLED", False)]))
         self.assertTrue(self.dispatcher.is_idle)
 
     def test_a_request_is_failed_after_an_exception_in_the_balancer(self) -> None:
-        self.script.react = lambda event: [][1]
+        self.balancer.react = lambda event: [][1]
         self.assertEqual(self.ask().answers, ["failed"])
 
         def fail_after_first(event: Any) -> list[Action]:
             return [StartAttempt(event.request_id, NODE)] if isinstance(event, RequestReceived) else [][1]
 
-        self.script.react = fail_after_first
+        self.balancer.react = fail_after_first
         handler = self.ask(60)
         self.until(lambda: handler.answers, "the timer of the request")
         self.assertEqual(handler.answers, ["failed"])
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -44,7 +44,7 @@
     def outcome(self, handler: RecordingHandler) -> str:
         self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(handler.answers, ["failed"])
-        return self.script.ends()[0][1]
+        return self.balancer.ends()[0][1]
 
     def origin_reader(self) -> OriginReplyReader:
         [connection] = self.pools[ORIGIN]._busy
@@ -98,7 +98,7 @@
         self.assertEqual(self.outcome(handler), "RESET")
 
     def test_a_response_without_a_length_is_complete_only_at_an_orderly_close(self) -> None:
-        self.script.react = once_to(ORIGIN)
+        self.balancer.react = once_to(ORIGIN)
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
         cases: list[tuple[Callable[[RecordingPeer], None], str]] = [
             (lambda peer: peer.conn.close_gracefully(), "OK"),
@@ -114,7 +114,7 @@
                 self.assertFalse(handler.answers)
                 end(origin)
                 self.until(lambda: handler.answers, "a final answer")  # noqa: B023
-                self.assertEqual(self.script.ends()[-1][1], outcome)
+                self.assertEqual(self.balancer.ends()[-1][1], outcome)
                 self.assertEqual(handler.answers, [b"VAL" if outcome == "OK" else "failed"])
 
     def test_no_reply_by_the_deadline_closes_the_connection(self) -> None:
@@ -135,7 +135,7 @@
     def miss_after(self, delay: float, data: bytes, then: bytes) -> float:
         """Make a request whose first attempt misses after `delay` ms and whose second goes to `then`. Returns
         the maximum of the remaining time."""
-        self.script.react = once_to(then=StartAttempt(1, then))
+        self.balancer.react = once_to(then=StartAttempt(1, then))
         self.client(data)
         node = self.at_node()
         sent_at = self.loop.now()  # the proxy received the request before this
@@ -197,8 +197,8 @@
         self.write_started_at = self.loop.now()
 
     def assert_aborted_in_time(self) -> None:
-        self.until(lambda: self.script.ends(), "the end of the attempt")
-        self.assertEqual(self.script.ends()[0][1], "CONNECT_FAILED")
+        self.until(lambda: self.balancer.ends(), "the end of the attempt")
+        self.assertEqual(self.balancer.ends()[0][1], "CONNECT_FAILED")
         self.assertLess(self.loop.now() - self.write_started_at, self.MAX_DELAY_MS)
         self.assertFalse(self.pools[NODE]._busy)  # the connection is closed, so no byte follows
 
@@ -212,11 +212,11 @@
     def test_the_rest_is_not_written_after_the_window_or_the_maximum_write_time(self) -> None:
         self.block_next_write()
         for window_ms in (30.0, inf):
-            self.script.events.clear()
+            self.balancer.events.clear()
             self.node.peers.clear()
             start_by = self.loop.now() + window_ms
             start = StartAttempt(0, NODE, start_by=start_by)
-            self.script.react = lambda e, start=start: [  # type: ignore[misc]
+            self.balancer.react = lambda e, start=start: [  # type: ignore[misc]
                 replace(start, request_id=e.request_id)
                 if isinstance(e, RequestReceived)
                 else Fail(e.request_id)
@@ -282,11 +282,11 @@
                 node = self.at_node(before)
                 self.assertEqual(node.received.count(b"OBJ.GET"), 1)
                 node.conn.send(SERVED)
-                self.until(lambda: self.script.ends()[-1][1] == "OK", "a reply")
+                self.until(lambda: self.balancer.ends()[-1][1] == "OK", "a reply")
                 node.received = b""
                 self.pools[NODE].retire()
                 self.pools[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
-        self.assertEqual([end[1] for end in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
+        self.assertEqual([end[1] for end in self.balancer.ends()], ["CONNECT_FAILED", "OK"] * 2)
 
     def test_without_the_send_guard_the_invariants_count_the_violations(self) -> None:
         """The invariants are checked in the same place as the guard, but independently of it."""
@@ -313,12 +313,12 @@
         self.pools[NODE].retire()
         delayed.release()
         self.until(lambda: handler.answers, "a final answer")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
         self.until(lambda: self.node.peers and self.node.peers[0].ends, "the end of the connection")
         self.assertEqual(self.node.peers[0].received, b"")
 
     def test_no_repeat_is_sent_after_its_deduplication_window(self) -> None:
-        self.script.react = lambda e: (
+        self.balancer.react = lambda e: (
             [StartAttempt(e.request_id, NODE, start_by=self.loop.now() + 30)]
             if isinstance(e, RequestReceived)
             else [Fail(1)]
@@ -329,14 +329,14 @@
         wait_until(self, self.loop.now() + 31)  # after the end of the window
         delayed.release()
         self.until(lambda: handler.answers, "a final answer")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
         self.assertEqual(self.node.peers[0].received, b"")
 
     def test_the_wait_for_a_connection_is_subtracted_from_the_forwarded_deadline(self) -> None:
         for server, listener in ((NODE, self.node), (ORIGIN, self.origin)):
             with self.subTest(server=server):
                 delayed = self.delay_connections()
-                self.script.react = once_to(server)
+                self.balancer.react = once_to(server)
                 self.ask()
                 requested_at = self.loop.now()
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
@@ -350,7 +350,7 @@
         self.delay_connections()
         handler = self.ask(60)
         self.until(lambda: handler.answers, "a final answer")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
 
     def test_an_abandoned_attempt_queued_behind_others_is_not_sent(self) -> None:
         delayed = self.delay_connections()
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -167,8 +167,8 @@
         self.addCleanup(print_patch.stop)
         self.loop = EventLoop()
         self.budget = DescriptorBudget(self.SOCKETS)
-        self.script = ScriptedBalancer()
-        self.script.react = once_to()
+        self.balancer = ScriptedBalancer()
+        self.balancer.react = once_to()
         self.node = RecordingListener(self.loop)
         self.addCleanup(self.node.close)
         self.origin = RecordingListener(self.loop)
@@ -191,7 +191,7 @@
 
     def _dispatcher(self) -> RequestDispatcher:
         settings = Settings([RequestClass(500, 1500)], max_attempts=2, max_retry_after=400.0)
-        with mock.patch.object(request_dispatcher, "Balancer", lambda *_: self.script):
+        with mock.patch.object(request_dispatcher, "Balancer", lambda *_: self.balancer):
             return RequestDispatcher(self.loop, settings, 1, self.pools.get, lambda: None, self.MAX_OPEN)
 
     def link(self, address: Address, protocol: UpstreamProtocol) -> ConnectionPool:
