--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -111,7 +111,7 @@
             return errno.EINTR
 
         with mock.patch.object(socket.socket, "connect_ex", interrupted):
-            handler = self.ask()
+            handler = self.dispatch_read()
         self.at_node().conn.send(SERVED)
         self.until(lambda: handler.answers, "an answer")
         self.assertEqual(handler.answers, [b"V"])
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -23,17 +23,17 @@
     """A second copy of a reply may arrive some milliseconds late, and looks like the next reply."""
 
     def test_after_a_duplicate_reply_a_connection_is_not_reused_at_once(self) -> None:
-        first = self.ask()
+        first = self.dispatch_read()
         node = self.at_node()
         node.conn.send(SERVED)
         self.until(lambda: first.answers, "a reply")
         node.conn.send(SERVED)  # belongs to no request: the connection is closed, and the excess is recorded
         self.until(lambda: node.ends, "the end of the connection")
-        second = self.ask()
+        second = self.dispatch_read()
         node = self.at_node(1)
         node.conn.send(SERVED.replace(b"V", b"2"))
         self.until(lambda: second.answers, "a reply")
-        third = self.ask()
+        third = self.dispatch_read()
         third_node = self.at_node(2)  # not the connection on which the second copy will arrive
         node.conn.send(SERVED.replace(b"V", b"2"))
         third_node.conn.send(SERVED.replace(b"V", b"3"))
@@ -46,13 +46,13 @@
 
     def test_the_last_used_is_reused_first_and_idle_ones_close_before_the_server_closes_them(self) -> None:
         for _ in range(2):
-            self.ask()
+            self.dispatch_read()
         for n in (0, 1):
             self.at_node(n).conn.send(SERVED)
             self.until(lambda: len(self.balancer.ends()) > n, "a reply")  # noqa: B023
             self.node.peers[n].received = b""
         started = self.loop.now()
-        self.ask()
+        self.dispatch_read()
         self.at_node(1).conn.send(SERVED)
         self.until(lambda: self.node.peers[0].ends and self.node.peers[1].ends, "idle connections to close")
         self.assertLess(self.loop.now() - started, 2000)
@@ -71,7 +71,7 @@
             with self.subTest(server=server, excess=excess):
                 self.balancer.react = once_to(server)
                 connections_before = len(listener.peers)
-                first = self.ask()
+                first = self.dispatch_read()
                 peer = self.peer_with_request(listener)
                 second = self.ask_again_when_served(first, peer, reply + excess, ends=not excess)
                 other_peer = self.peer_with_request(listener, other_than=peer)
@@ -100,7 +100,7 @@
         def on_served(value: bytes) -> None:
             if ends:
                 peer.conn.close_gracefully()
-            second.append(self.ask())
+            second.append(self.dispatch_read())
 
         with mock.patch.object(first, "on_served", on_served):
             peer.received = b""
@@ -109,18 +109,18 @@
         return second[0]
 
     def test_late_excess_bytes_close_an_idle_connection_and_fail_no_request(self) -> None:
-        self.ask()
+        self.dispatch_read()
         node = self.at_node()
         node.conn.send(SERVED)
         self.until(lambda: self.balancer.ends(), "a reply")
         node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node(1).conn.send(SERVED)
         self.until(lambda: handler.answers, "a reply")
         self.assertEqual(handler.answers, [b"V"])
 
     def test_a_retired_pool_finishes_attempts_in_flight_and_keeps_no_connection(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         node = self.at_node()
         self.pools[NODE].retire()
         node.conn.send(SERVED)
@@ -134,7 +134,7 @@
     MAX_OPEN = 3
 
     def test_attempts_share_a_connection_up_to_the_limit(self) -> None:
-        handlers = [self.ask(), self.ask(60), self.ask()]
+        handlers = [self.dispatch_read(), self.dispatch_read(60), self.dispatch_read()]
         self.until(lambda: handlers[2].answers, "the third to be refused")
         self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
         node = self.at_node()
@@ -145,7 +145,7 @@
         self.assertEqual((handlers[0].answers, handlers[1].answers), ([b"V"], ["failed"]))
 
     def test_an_idle_connection_is_closed_when_a_client_or_another_server_needs_its_descriptor(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node().conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
         client = self.client(PING)  # the listener and the idle connection hold all descriptors
@@ -153,11 +153,11 @@
         self.until(lambda: self.node.peers[0].ends, "the idle connection to end")
         client.conn.close()
         self.until(lambda: self.budget.used == 1, "the client to be closed")
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node(1).conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
         self.balancer.react = once_to(ORIGIN)
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node(0, self.origin).conn.send(OK_HTTP)
         self.until(lambda: handler.answers, "the origin's reply")
         self.assertEqual(
@@ -165,7 +165,7 @@
         )
 
     def test_clients_beyond_their_share_do_not_close_idle_connections_to_servers(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node().conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
         self.budget.limit, self.listener.capacity.share = 4, 1  # one is reserved, the listener has one
@@ -186,6 +186,6 @@
 
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
         self.balancer.react = lambda event: []
-        handlers = [self.ask(), self.ask(), self.ask()]
-        self.assertEqual(self.ask().answers, [400.0])
+        handlers = [self.dispatch_read(), self.dispatch_read(), self.dispatch_read()]
+        self.assertEqual(self.dispatch_read().answers, [400.0])
         self.assertEqual([handler.answers for handler in handlers], [[], [], []])
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -54,7 +54,7 @@
             return [StartAttempt(event.request_id, NODE)] if event.attempt == 0 else []
 
         self.balancer.react = react
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.assertEqual(self.balancer.ends(), [(2, "NOT_STARTED", False)])
         self.at_node(0).conn.send(SERVED)
         self.at_node(1).conn.send(SERVED)
@@ -70,7 +70,7 @@
             else []
         )
         started_at = self.loop.now()
-        self.ask(50)
+        self.dispatch_read(50)
         self.until(lambda: self.balancer.ends(), "the deadline")
         self.assertEqual(self.balancer.ends(), [(0, "TIMEOUT", False)])
         self.assertLess(self.loop.now() - started_at, 4000)
@@ -78,7 +78,7 @@
         self.balancer.react = lambda event: (
             [StartAttempt(event.request_id, NODE, 1.0)] if isinstance(event, RequestReceived) else []
         )
-        self.ask()
+        self.dispatch_read()
         self.until(lambda: len(self.balancer.ends()) == 2, "the immediate end")
         self.assertLess(self.loop.now() - started_at, 800)
 
@@ -95,18 +95,18 @@
             return [Reject(event.request_id), Fail(event.request_id), Reject(77)]
 
         self.balancer.react = react
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.assertEqual((handler.answers, self.balancer.ends()), ([0.0], [(0, "CANCELLED", False)]))
         self.assertTrue(self.dispatcher.is_idle)
 
     def test_a_request_is_failed_after_an_exception_in_the_balancer(self) -> None:
         self.balancer.react = lambda event: [][1]
-        self.assertEqual(self.ask().answers, ["failed"])
+        self.assertEqual(self.dispatch_read().answers, ["failed"])
 
         def fail_after_first(event: Any) -> list[Action]:
             return [StartAttempt(event.request_id, NODE)] if isinstance(event, RequestReceived) else [][1]
 
         self.balancer.react = fail_after_first
-        handler = self.ask(60)
+        handler = self.dispatch_read(60)
         self.until(lambda: handler.answers, "the timer of the request")
         self.assertEqual(handler.answers, ["failed"])
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -53,10 +53,10 @@
 
     def test_a_refused_connection_is_connect_failed(self) -> None:
         self.node.close()
-        self.assertEqual(self.outcome(self.ask()), "CONNECT_FAILED")
+        self.assertEqual(self.outcome(self.dispatch_read()), "CONNECT_FAILED")
 
     def test_a_reset_before_the_last_byte_was_written_is_connect_failed(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         [upstream] = self.pools[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = mock.patch(
@@ -68,7 +68,7 @@
             self.assertEqual(self.outcome(handler), "CONNECT_FAILED")
 
     def test_a_close_after_the_last_byte_was_written_is_a_reset(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         node = self.at_node()
         node.conn.send(SERVED[:-3])  # an incomplete reply
         node.conn.close_gracefully()
@@ -82,18 +82,18 @@
             ("server_invalid_reply", lambda peer: peer.conn.send(b"?\r\n")),
         ):
             before = Counter(closed)
-            handler = self.ask()
+            handler = self.dispatch_read()
             end(self.at_node(len(self.node.peers)))
             self.until(lambda: handler.answers, "a final answer")  # noqa: B023
             self.assertEqual(closed - before, {name: 1})
 
     def test_a_busy_reply_is_a_rejection(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node().conn.send(b"-BUSY\r\n")
         self.assertEqual(self.outcome(handler), "REJECTED")
 
     def test_an_invalid_reply_is_a_reset(self) -> None:
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.at_node().conn.send(b"?\r\n")
         self.assertEqual(self.outcome(handler), "RESET")
 
@@ -107,7 +107,7 @@
         ]
         for number, (end, outcome) in enumerate(cases):
             with self.subTest(outcome=outcome):
-                handler = self.ask()
+                handler = self.dispatch_read()
                 origin = self.at_node(number, self.origin)
                 origin.conn.send(head + b"VAL")
                 self.until(lambda: self.origin_reader()._response_reader.current.body, "a part of the body")
@@ -118,7 +118,7 @@
                 self.assertEqual(handler.answers, [b"VAL" if outcome == "OK" else "failed"])
 
     def test_no_reply_by_the_deadline_closes_the_connection(self) -> None:
-        handler = self.ask(60)
+        handler = self.dispatch_read(60)
         node = self.at_node()
         self.assertEqual(self.outcome(handler), "TIMEOUT")
         self.until(lambda: node.ends, "the end of the connection")
@@ -221,7 +221,7 @@
                 if isinstance(e, RequestReceived)
                 else Fail(e.request_id)
             ]
-            self.ask()
+            self.dispatch_read()
             self.until_partly_written()
             self.assert_aborted_in_time()
             self.assertTrue(window_ms == inf or self.loop.now() - start_by < 60)
@@ -278,7 +278,7 @@
                 delayed.release()
                 [upstream] = delayed.held
                 self.until(lambda: not upstream.connecting, "the connection")  # noqa: B023
-                self.ask()  # sent on the same connection, as its first command
+                self.dispatch_read()  # sent on the same connection, as its first command
                 node = self.at_node(before)
                 self.assertEqual(node.received.count(b"OBJ.GET"), 1)
                 node.conn.send(SERVED)
@@ -308,7 +308,7 @@
 
     def test_no_attempt_is_sent_to_a_retired_server(self) -> None:
         delayed = self.delay_connections()
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.until(lambda: delayed.held, "a connection")
         self.pools[NODE].retire()
         delayed.release()
@@ -324,7 +324,7 @@
             else [Fail(1)]
         )
         delayed = self.delay_connections()
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.until(lambda: delayed.held, "a connection")
         wait_until(self, self.loop.now() + 31)  # after the end of the window
         delayed.release()
@@ -337,7 +337,7 @@
             with self.subTest(server=server):
                 delayed = self.delay_connections()
                 self.balancer.react = once_to(server)
-                self.ask()
+                self.dispatch_read()
                 requested_at = self.loop.now()
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
                 wait_until(self, requested_at + 60)
@@ -348,16 +348,16 @@
 
     def test_an_attempt_that_is_unsent_at_its_deadline_is_connect_failed(self) -> None:
         self.delay_connections()
-        handler = self.ask(60)
+        handler = self.dispatch_read(60)
         self.until(lambda: handler.answers, "a final answer")
         self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
 
     def test_an_abandoned_attempt_queued_behind_others_is_not_sent(self) -> None:
         delayed = self.delay_connections()
-        first = self.ask()
+        first = self.dispatch_read()
         self.until(lambda: delayed.held, "a connection")
         with mock.patch.object(self.budget, "has_capacity", lambda keep=0: False):
-            second, third = self.ask(60), self.ask()
+            second, third = self.dispatch_read(60), self.dispatch_read()
         self.until(lambda: second.answers, "the second to time out")
         delayed.release()
         node = self.at_node()
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -231,7 +231,7 @@
         clock_patch.start()
         self.addCleanup(clock_patch.stop)
 
-    def ask(self, wait: float = 900) -> RecordingHandler:
+    def dispatch_read(self, wait: float = 900) -> RecordingHandler:
         """Pass a read directly to the dispatcher, with a client timeout of `wait` ms."""
         handler = RecordingHandler()
         command = parse_command([b"OBJ.GET", b"1f", b"a", b"c=read,d=%d" % wait], ["read"])
