--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -12,7 +12,7 @@
 from lupinladder.net import connection
 from lupinladder.net.client_connection import MAX_PIPELINE_DEPTH
 from lupinladder.net.connection import Connection
-from tests.support.network_scene import MISSED, NODE, ORIGIN, SERVED, NetworkScene, get, once_to
+from tests.support.network_scene import MISSED, NODE, ORIGIN, SERVED, NetworkScene, get, send_once_to
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 HTTP_OK = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nV"
@@ -30,7 +30,7 @@
         self.assertEqual(self.balancer.ends(), [(0, "OK", True)])
 
     def test_a_miss_is_sent_to_the_origin(self) -> None:
-        self.balancer.react = once_to(then=StartAttempt(1, ORIGIN))
+        self.balancer.react = send_once_to(then=StartAttempt(1, ORIGIN))
         client = self.client(get())
         self.at_node().conn.send(MISSED)
         origin = self.at_node(0, self.origin)
@@ -45,7 +45,7 @@
         client = self.client(get())
         self.at_node().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
-        self.balancer.react = once_to(ORIGIN)
+        self.balancer.react = send_once_to(ORIGIN)
         client.received = b""
         client.conn.send(get())
         self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -14,7 +14,7 @@
 from lupinladder.net import client_connection
 from lupinladder.net.client_listener import MAX_ACCEPTS_PER_EVENT
 from lupinladder.net.connection import Connection
-from tests.support.network_scene import SERVED, NetworkScene, RecordingPeer, get, once_to
+from tests.support.network_scene import SERVED, NetworkScene, RecordingPeer, get, send_once_to
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 # Transient errors of accept(2) other than that of an empty backlog. They do not tell whether clients are
@@ -160,7 +160,7 @@
     def test_a_request_open_shortly_before_the_kill_is_answered_before_its_deadline(
         self,
     ) -> None:
-        self.balancer.react = once_to()
+        self.balancer.react = send_once_to()
         client = self.client(get())
         self.at_node()  # the node does not reply during the whole shutdown
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -12,7 +12,7 @@
     RecordingHandler,
     RecordingListener,
     RecordingPeer,
-    once_to,
+    send_once_to,
 )
 
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -69,7 +69,7 @@
         )
         for listener, server, reply, excess in cases:
             with self.subTest(server=server, excess=excess):
-                self.balancer.react = once_to(server)
+                self.balancer.react = send_once_to(server)
                 connections_before = len(listener.peers)
                 first = self.dispatch_read()
                 peer = self.peer_with_request(listener)
@@ -156,7 +156,7 @@
         handler = self.dispatch_read()
         self.at_node(1).conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
-        self.balancer.react = once_to(ORIGIN)
+        self.balancer.react = send_once_to(ORIGIN)
         handler = self.dispatch_read()
         self.at_node(0, self.origin).conn.send(OK_HTTP)
         self.until(lambda: handler.answers, "the origin's reply")
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -27,7 +27,7 @@
     RecordingListener,
     RecordingPeer,
     get,
-    once_to,
+    send_once_to,
 )
 
 
@@ -98,7 +98,7 @@
         self.assertEqual(self.outcome(handler), "RESET")
 
     def test_a_response_without_a_length_is_complete_only_at_an_orderly_close(self) -> None:
-        self.balancer.react = once_to(ORIGIN)
+        self.balancer.react = send_once_to(ORIGIN)
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
         cases: list[tuple[Callable[[RecordingPeer], None], str]] = [
             (lambda peer: peer.conn.close_gracefully(), "OK"),
@@ -135,7 +135,7 @@
     def miss_after(self, delay: float, data: bytes, then: bytes) -> float:
         """Make a request whose first attempt misses after `delay` ms and whose second goes to `then`. Returns
         the maximum of the remaining time."""
-        self.balancer.react = once_to(then=StartAttempt(1, then))
+        self.balancer.react = send_once_to(then=StartAttempt(1, then))
         self.client(data)
         node = self.at_node()
         sent_at = self.loop.now()  # the proxy received the request before this
@@ -336,7 +336,7 @@
         for server, listener in ((NODE, self.node), (ORIGIN, self.origin)):
             with self.subTest(server=server):
                 delayed = self.delay_connections()
-                self.balancer.react = once_to(server)
+                self.balancer.react = send_once_to(server)
                 self.dispatch_read()
                 requested_at = self.loop.now()
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -120,7 +120,7 @@
         ]
 
 
-def once_to(server: bytes = NODE, then: Action | None = None) -> Callable[[Any], list[Action]]:
+def send_once_to(server: bytes = NODE, then: Action | None = None) -> Callable[[Any], list[Action]]:
     """Send each request once to `server`. Without an answer, return `then` or fail the request."""
 
     def react(event: Any) -> list[Action]:
@@ -168,7 +168,7 @@
         self.loop = EventLoop()
         self.budget = DescriptorBudget(self.SOCKETS)
         self.balancer = ScriptedBalancer()
-        self.balancer.react = once_to()
+        self.balancer.react = send_once_to()
         self.node = RecordingListener(self.loop)
         self.addCleanup(self.node.close)
         self.origin = RecordingListener(self.loop)
