--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -21,7 +21,7 @@
 class Forwarding(NetworkScene):
     def test_a_command_is_forwarded_with_only_the_deadline_changed(self) -> None:
         client = self.client(get())
-        node = self.at_node()
+        node = self.accept_request()
         head, deadline = node.received.rsplit(b"d=", 1)
         self.assertEqual(head, get().rsplit(b"d=", 1)[0])
         self.assertIn(int(deadline), range(1, 901))
@@ -32,8 +32,8 @@
     def test_a_miss_is_sent_to_the_origin(self) -> None:
         self.balancer.react = send_once_to(then=StartAttempt(1, ORIGIN))
         client = self.client(get())
-        self.at_node().conn.send(MISSED)
-        origin = self.at_node(0, self.origin)
+        self.accept_request().conn.send(MISSED)
+        origin = self.accept_request(0, self.origin)
         self.assertIn(b"GET /1f HTTP/1.1\r\n", origin.received)
         self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.received)
         origin.conn.send(HTTP_OK)
@@ -43,12 +43,14 @@
     def test_a_value_larger_than_clients_may_store_is_served_whole(self) -> None:
         value = b"x" * 400_000
         client = self.client(get())
-        self.at_node().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
+        self.accept_request().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
         self.balancer.react = send_once_to(ORIGIN)
         client.received = b""
         client.conn.send(get())
-        self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
+        self.accept_request(0, self.origin).conn.send(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value
+        )
         self.assert_received(client, b"$400000\r\n%b\r\n" % value)
 
     def test_a_rejection_contains_the_time_after_which_to_retry(self) -> None:
@@ -73,8 +75,8 @@
     def test_pipelined_commands_are_answered_in_order_even_if_some_are_invalid(self) -> None:
         invalid = b"*1\r\n$7\r\nOBJ.GET\r\n"
         client = self.client(get() + PING + invalid + get(b"b"))
-        first = self.at_node(0)
-        second = self.at_node(1)
+        first = self.accept_request(0)
+        second = self.accept_request(1)
         second.conn.send(SERVED)
         self.until(lambda: self.balancer.ends(), "the second answer")
         self.assertEqual(client.received, b"")  # the first reply is still pending
@@ -126,7 +128,7 @@
 class FramingErrors(NetworkScene):
     def test_a_framing_error_is_sent_after_the_pending_replies_and_closes_the_connection(self) -> None:
         client = self.client(get() + b"GET / HTTP/1.1\r\n\r\n")
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: client.ends, "a close")
         self.assertEqual(client.received, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
         self.assertEqual(client.ends, [True])  # closed in order, not reset
@@ -155,8 +157,8 @@
     def test_a_client_that_ends_its_sending_or_resets_has_disconnected(self) -> None:
         client = self.client(get())
         resetting = self.client(get(b"b"))
-        node = self.at_node(0)
-        self.at_node(1)
+        node = self.accept_request(0)
+        self.accept_request(1)
         client.conn.send(get(b"c")[:9])
         client.conn._sock.shutdown(socket.SHUT_WR)
         resetting.reset()
@@ -217,7 +219,7 @@
             else []
         )
         client = self.client(get())
-        self.at_node().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
+        self.accept_request().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
         client.conn.close()
         self.stall(300)
         self.until(lambda: len(self.balancer.ends()) == 2, "the ends of both attempts")
@@ -243,8 +245,8 @@
     def test_the_id_of_an_open_request_is_an_error_until_it_is_answered_or_disconnected(self) -> None:
         first = self.client(get())
         disconnecting = self.client(get(b"b"))
-        node = self.at_node(0)
-        self.at_node(1)
+        node = self.accept_request(0)
+        self.accept_request(1)
         second = self.client(get() + get(b"b"))
         self.assert_received(second, b"-ERR id is that of another open query\r\n" * 2)
         self.assertEqual(len(self.balancer.events), 2)
@@ -277,6 +279,6 @@
                 get(b"x").replace(b"$12\r\n", b"$16\r\n").replace(b"c=", b"t=%b,c=" % t) for t in (b"z", b"b")
             )
         )
-        self.at_node()
+        self.accept_request()
         self.assertEqual([e.tenant for e in self.balancer.events if isinstance(e, RequestReceived)], [1])
         self.assert_received(client, b"-ERR tenant is unknown\r\n")
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -61,7 +61,7 @@
             self.until_closed(peer)
             self.assertTrue(peer.received.startswith(received) and bool(peer.received) == bool(received))
         self.assertEqual((idle.received, idle.ends, waiting.ends), (b"+PONG\r\n", [], []))
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.assert_received(waiting, b"$1\r\nV\r\n")
 
 
@@ -96,7 +96,7 @@
         self.assert_received(client, b"+PONG\r\n")
         client.conn._sock.send(get())  # not yet read when the shutdown closes idle connections
         self.shut_down_at_once()
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
         self.assertEqual((client.received, client.ends), (b"+PONG\r\n$1\r\nV\r\n", [True]))
         self.assertTrue(self.dispatcher.is_idle)
@@ -109,7 +109,7 @@
         self.assert_received(client, b"+PONG\r\n")
         client.conn._sock.send(echo * 512 + get())
         self.shut_down_at_once()
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
         self.assertTrue(client.received.endswith(b"$1\r\nV\r\n"))
 
@@ -119,7 +119,7 @@
         self.listener.shut_down()
         self.listener._stop_listening()  # no new clients are accepted; connected clients stay
         client.conn.send(get())
-        node = self.at_node()
+        node = self.accept_request()
         node.conn.send(SERVED)
         self.assert_received(client, b"+PONG\r\n$1\r\nV\r\n")
         self.assertFalse(self.listener.is_finished)
@@ -162,7 +162,7 @@
     ) -> None:
         self.balancer.react = send_once_to()
         client = self.client(get())
-        self.at_node()  # the node does not reply during the whole shutdown
+        self.accept_request()  # the node does not reply during the whole shutdown
         settings = Settings([RequestClass(500, 1500)], balancer_count=3)
         nearly_over = ShutdownSchedule(settings, self.loop.now() - 1950)
         with mock.patch.object(self.dispatcher, "shutdown_schedule", lambda: nearly_over):
@@ -211,7 +211,7 @@
         self.shut_down_at_once()
         self.assertFalse(self.listener.is_finished)
         partial_clients[0].conn.send(get()[30:])
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: partial_clients[0].ends, "its answer")
         partial_clients[0].conn.close()
         assert self.listener.shutdown
@@ -224,7 +224,7 @@
 
     def test_a_client_whose_reply_is_not_completely_sent_is_not_idle(self) -> None:
         client = self.client(get())
-        node = self.at_node()
+        node = self.accept_request()
         with mock.patch.object(Connection, "_flush"):  # the system takes no bytes
             node.conn._sock.sendall(SERVED)
             self.until(lambda: self.balancer.ends(), "the answer")
--- a/tests/net/test_connection.py
+++ b/tests/net/test_connection.py
@@ -80,7 +80,7 @@
         descriptors = self.accepted(client)
         read_errors = self.fail_first("recv_into", descriptors)
         client.conn.send(get())
-        node = self.at_node()
+        node = self.accept_request()
         send_errors = self.fail_first("send", descriptors)
         node.conn.send(SERVED)
         self.assert_received(client, b"$1\r\nV\r\n")
@@ -98,7 +98,7 @@
 
         client = self.client(get())
         with mock.patch.object(self.loop._selector, "register", register_after_failures):
-            node = self.at_node()
+            node = self.accept_request()
         node.conn.send(SERVED)
         self.assert_received(client, b"$1\r\nV\r\n")
         self.assertEqual(failures, [])
@@ -112,7 +112,7 @@
 
         with mock.patch.object(socket.socket, "connect_ex", interrupted):
             handler = self.dispatch_read()
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: handler.answers, "an answer")
         self.assertEqual(handler.answers, [b"V"])
 
@@ -123,7 +123,7 @@
         with mock.patch.object(self.loop._selector, "register", side_effect=no_memory):
             self.listener.update_listening()
         client = self.client(get())
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.assert_received(client, b"$1\r\nV\r\n")
 
     def test_descriptors_are_released_if_setting_a_socket_option_fails(self) -> None:
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -24,17 +24,17 @@
 
     def test_after_a_duplicate_reply_a_connection_is_not_reused_at_once(self) -> None:
         first = self.dispatch_read()
-        node = self.at_node()
+        node = self.accept_request()
         node.conn.send(SERVED)
         self.until(lambda: first.answers, "a reply")
         node.conn.send(SERVED)  # belongs to no request: the connection is closed, and the excess is recorded
         self.until(lambda: node.ends, "the end of the connection")
         second = self.dispatch_read()
-        node = self.at_node(1)
+        node = self.accept_request(1)
         node.conn.send(SERVED.replace(b"V", b"2"))
         self.until(lambda: second.answers, "a reply")
         third = self.dispatch_read()
-        third_node = self.at_node(2)  # not the connection on which the second copy will arrive
+        third_node = self.accept_request(2)  # not the connection on which the second copy will arrive
         node.conn.send(SERVED.replace(b"V", b"2"))
         third_node.conn.send(SERVED.replace(b"V", b"3"))
         self.until(lambda: third.answers, "a reply")
@@ -48,12 +48,12 @@
         for _ in range(2):
             self.dispatch_read()
         for n in (0, 1):
-            self.at_node(n).conn.send(SERVED)
+            self.accept_request(n).conn.send(SERVED)
             self.until(lambda: len(self.balancer.ends()) > n, "a reply")  # noqa: B023
             self.node.peers[n].received = b""
         started = self.loop.now()
         self.dispatch_read()
-        self.at_node(1).conn.send(SERVED)
+        self.accept_request(1).conn.send(SERVED)
         self.until(lambda: self.node.peers[0].ends and self.node.peers[1].ends, "idle connections to close")
         self.assertLess(self.loop.now() - started, 2000)
         self.assertEqual(len(self.node.peers), 2)
@@ -110,18 +110,18 @@
 
     def test_late_excess_bytes_close_an_idle_connection_and_fail_no_request(self) -> None:
         self.dispatch_read()
-        node = self.at_node()
+        node = self.accept_request()
         node.conn.send(SERVED)
         self.until(lambda: self.balancer.ends(), "a reply")
         node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
         handler = self.dispatch_read()
-        self.at_node(1).conn.send(SERVED)
+        self.accept_request(1).conn.send(SERVED)
         self.until(lambda: handler.answers, "a reply")
         self.assertEqual(handler.answers, [b"V"])
 
     def test_a_retired_pool_finishes_attempts_in_flight_and_keeps_no_connection(self) -> None:
         handler = self.dispatch_read()
-        node = self.at_node()
+        node = self.accept_request()
         self.pools[NODE].retire()
         node.conn.send(SERVED)
         self.until(lambda: handler.answers and node.ends, "a reply and the end of the connection")
@@ -137,7 +137,7 @@
         handlers = [self.dispatch_read(), self.dispatch_read(60), self.dispatch_read()]
         self.until(lambda: handlers[2].answers, "the third to be refused")
         self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
-        node = self.at_node()
+        node = self.accept_request()
         self.until(lambda: handlers[1].answers, "the second to time out")
         self.assertEqual(handlers[0].answers, [])  # the other attempt on the connection is not aborted
         node.conn.send(SERVED * 2)
@@ -146,7 +146,7 @@
 
     def test_an_idle_connection_is_closed_when_a_client_or_another_server_needs_its_descriptor(self) -> None:
         handler = self.dispatch_read()
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
         client = self.client(PING)  # the listener and the idle connection hold all descriptors
         self.assert_received(client, b"+PONG\r\n")
@@ -154,11 +154,11 @@
         client.conn.close()
         self.until(lambda: self.budget.used == 1, "the client to be closed")
         handler = self.dispatch_read()
-        self.at_node(1).conn.send(SERVED)
+        self.accept_request(1).conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
         self.balancer.react = send_once_to(ORIGIN)
         handler = self.dispatch_read()
-        self.at_node(0, self.origin).conn.send(OK_HTTP)
+        self.accept_request(0, self.origin).conn.send(OK_HTTP)
         self.until(lambda: handler.answers, "the origin's reply")
         self.assertEqual(
             (handler.answers, set(self.budget.idle_connections)), ([b"V"], set(self.pools[ORIGIN]._idle))
@@ -166,7 +166,7 @@
 
     def test_clients_beyond_their_share_do_not_close_idle_connections_to_servers(self) -> None:
         handler = self.dispatch_read()
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: handler.answers, "the reply")
         self.budget.limit, self.listener.capacity.share = 4, 1  # one is reserved, the listener has one
         first_client = self.client(PING)
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -41,7 +41,7 @@
         """The age in ms that the balancer computes for a server that is listed now with this start."""
         updates_before = len(self.updates)
         self.registry.open_watch()
-        peer = self.at_node(0, self.discovery)
+        peer = self.accept_request(0, self.discovery)
         if updates_before == 0:
             peer.conn.send(STREAM_HEAD)
         peer.conn.send(chunks(delta(9 + updates_before, name=name, since_ms=since)))
@@ -109,7 +109,7 @@
         previous = self.follow()
         self.registry.move_watch(self.discovery.address)  # the current address: no request
         self.registry.move_watch(self.moved.address)
-        current = self.at_node(0, self.moved)
+        current = self.accept_request(0, self.moved)
         self.assertIn(b"index=4 ", current.received)
         current.conn.send(STREAM_HEAD)
         for peer, version, status, is_ready in (
--- a/tests/net/test_idle_client_tracker.py
+++ b/tests/net/test_idle_client_tracker.py
@@ -28,7 +28,7 @@
             self.assert_received(peer, b"+PONG\r\n")
         self.until(lambda: sum(bool(peer.ends) for peer in single_command_clients) >= share // 4, "room")
         self.assertEqual((returning.ends, waiting.ends), ([], []))
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.assert_received(waiting, b"$1\r\nV\r\n")
 
     def test_a_silent_client_is_evicted_first_and_then_the_longest_idle_one(self) -> None:
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -56,8 +56,8 @@
         self.balancer.react = react
         handler = self.dispatch_read()
         self.assertEqual(self.balancer.ends(), [(2, "NOT_STARTED", False)])
-        self.at_node(0).conn.send(SERVED)
-        self.at_node(1).conn.send(SERVED)
+        self.accept_request(0).conn.send(SERVED)
+        self.accept_request(1).conn.send(SERVED)
         self.until(lambda: len(self.balancer.ends()) == 4, "all ends")
         self.assertEqual(handler.answers, [b"V"])
         self.assertIn((3, "NOT_STARTED", True), self.balancer.ends())
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -69,7 +69,7 @@
 
     def test_a_close_after_the_last_byte_was_written_is_a_reset(self) -> None:
         handler = self.dispatch_read()
-        node = self.at_node()
+        node = self.accept_request()
         node.conn.send(SERVED[:-3])  # an incomplete reply
         node.conn.close_gracefully()
         self.assertEqual(self.outcome(handler), "RESET")
@@ -83,18 +83,18 @@
         ):
             before = Counter(closed)
             handler = self.dispatch_read()
-            end(self.at_node(len(self.node.peers)))
+            end(self.accept_request(len(self.node.peers)))
             self.until(lambda: handler.answers, "a final answer")  # noqa: B023
             self.assertEqual(closed - before, {name: 1})
 
     def test_a_busy_reply_is_a_rejection(self) -> None:
         handler = self.dispatch_read()
-        self.at_node().conn.send(b"-BUSY\r\n")
+        self.accept_request().conn.send(b"-BUSY\r\n")
         self.assertEqual(self.outcome(handler), "REJECTED")
 
     def test_an_invalid_reply_is_a_reset(self) -> None:
         handler = self.dispatch_read()
-        self.at_node().conn.send(b"?\r\n")
+        self.accept_request().conn.send(b"?\r\n")
         self.assertEqual(self.outcome(handler), "RESET")
 
     def test_a_response_without_a_length_is_complete_only_at_an_orderly_close(self) -> None:
@@ -108,7 +108,7 @@
         for number, (end, outcome) in enumerate(cases):
             with self.subTest(outcome=outcome):
                 handler = self.dispatch_read()
-                origin = self.at_node(number, self.origin)
+                origin = self.accept_request(number, self.origin)
                 origin.conn.send(head + b"VAL")
                 self.until(lambda: self.origin_reader()._response_reader.current.body, "a part of the body")
                 self.assertFalse(handler.answers)
@@ -119,7 +119,7 @@
 
     def test_no_reply_by_the_deadline_closes_the_connection(self) -> None:
         handler = self.dispatch_read(60)
-        node = self.at_node()
+        node = self.accept_request()
         self.assertEqual(self.outcome(handler), "TIMEOUT")
         self.until(lambda: node.ends, "the end of the connection")
 
@@ -137,7 +137,7 @@
         the maximum of the remaining time."""
         self.balancer.react = send_once_to(then=StartAttempt(1, then))
         self.client(data)
-        node = self.at_node()
+        node = self.accept_request()
         sent_at = self.loop.now()  # the proxy received the request before this
         wait_until(self, sent_at + delay)
         answered_at = self.loop.now()
@@ -154,7 +154,7 @@
 
     def check_deadline_at_origin(self, data: bytes) -> None:
         remaining = self.miss_after(80, data, ORIGIN)
-        origin = self.at_node(0, self.origin)
+        origin = self.accept_request(0, self.origin)
         self.assert_labels(origin.received.split(b"X-Labels: ")[1].split(b"\r\n")[0], remaining)
 
     def test_the_deadline_forwarded_to_the_origin_after_a_read_miss_is_the_remaining_time(self) -> None:
@@ -168,7 +168,7 @@
         self.addCleanup(second.close)
         self.pools[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
         remaining = self.miss_after(80, self.command(b"OBJ.GET"), b"s-second")
-        labels = self.at_node(0, second).received.split(b"\r\n")[8]
+        labels = self.accept_request(0, second).received.split(b"\r\n")[8]
         self.assert_labels(labels, remaining)
 
 
@@ -279,7 +279,7 @@
                 [upstream] = delayed.held
                 self.until(lambda: not upstream.connecting, "the connection")  # noqa: B023
                 self.dispatch_read()  # sent on the same connection, as its first command
-                node = self.at_node(before)
+                node = self.accept_request(before)
                 self.assertEqual(node.received.count(b"OBJ.GET"), 1)
                 node.conn.send(SERVED)
                 self.until(lambda: self.balancer.ends()[-1][1] == "OK", "a reply")
@@ -301,7 +301,7 @@
         self.stall(200)
         with mock.patch("lupinladder.net.connection_pool.send_refusal", lambda *_: None):
             delayed.release()
-            self.at_node()
+            self.accept_request()
         self.assertEqual(
             violations - before, {"not_sent_after_client_left": 1, "not_sent_to_leaving_server": 1}
         )
@@ -343,7 +343,9 @@
                 wait_until(self, requested_at + 60)
                 remaining = 900 - (self.loop.now() - requested_at)
                 delayed.release()
-                forwarded_deadline = self.at_node(0, listener).received.split(b"d=")[1].split(b"\r\n")[0]
+                forwarded_deadline = (
+                    self.accept_request(0, listener).received.split(b"d=")[1].split(b"\r\n")[0]
+                )
                 self.assertLessEqual(int(forwarded_deadline), remaining + 0.5)
 
     def test_an_attempt_that_is_unsent_at_its_deadline_is_connect_failed(self) -> None:
@@ -360,7 +362,7 @@
             second, third = self.dispatch_read(60), self.dispatch_read()
         self.until(lambda: second.answers, "the second to time out")
         delayed.release()
-        node = self.at_node()
+        node = self.accept_request()
         self.until(lambda: node.received.count(b"OBJ.GET") == 2, "two commands")
         node.conn.send(SERVED * 2)
         self.until(lambda: first.answers and third.answers, "both replies")
--- a/tests/support/discovery_scene.py
+++ b/tests/support/discovery_scene.py
@@ -46,7 +46,7 @@
         """Open a watch, wait for its request, and return discovery's end of the connection."""
         opened_before = len(self.discovery.peers)
         self.registry.open_watch()
-        return self.at_node(opened_before, self.discovery)
+        return self.accept_request(opened_before, self.discovery)
 
     def follow(self, *lines: bytes, status: bytes = b"200 OK") -> RecordingPeer:
         """Open a watch, answer with one chunk for each line, and return discovery's end of the connection."""
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -240,7 +240,7 @@
         )
         return handler
 
-    def at_node(self, number: int = 0, listener: RecordingListener | None = None) -> RecordingPeer:
+    def accept_request(self, number: int = 0, listener: RecordingListener | None = None) -> RecordingPeer:
         """Wait for a request on connection `number` of the node or of `listener`; return its remote end."""
         peers = (listener or self.node).peers
         self.until(lambda: len(peers) > number and peers[number].received, "a request")
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -33,7 +33,7 @@
         self.process = self.start_listening(config)
         self.addCleanup(self.process.communicate)
         self.addCleanup(self.process.kill)
-        self.watch = self.at_node(0, self.discovery)
+        self.watch = self.accept_request(0, self.discovery)
         self.watch.conn.send(STREAM_HEAD)
         self.serving_client = self.client()
         self.assert_answered(0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -75,7 +75,7 @@
                 self.until_logged(process, "start_postponed")
             other_socket.close()
             self.until_logged(process, "metrics")
-            self.at_node(0, discovery)
+            self.accept_request(0, discovery)
             self.assertEqual(len(discovery.peers), 1)
             process.send_signal(signal.SIGTERM)
             process.communicate(timeout=END_TIMEOUT_S)
@@ -142,7 +142,7 @@
             assert process.stderr
             self.until(lambda: listeners[0].peers, "the first watch")
             client = self.client(get())
-            node = self.at_node()
+            node = self.accept_request()
             self.config_path.write_text("{")
             process.send_signal(signal.SIGHUP)
             self.assertIn(b"error=", self.until_logged(process, "reload_rejected"))
@@ -210,8 +210,8 @@
         self.addCleanup(process.communicate)
         self.addCleanup(process.kill)
         for number in range(3):
-            self.at_node(number, discovery).reset()
-        watch = self.at_node(3, discovery)
+            self.accept_request(number, discovery).reset()
+        watch = self.accept_request(3, discovery)
         draining = listing(type="m2", status="leaving", since_ms=0)
         text = json.dumps({**draining, "index": 9, "snapshot": False}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -232,7 +232,7 @@
             client = self.client(get())
             idle = self.client(PING)
             self.assert_received(idle, b"+PONG\r\n")
-            node = self.at_node()
+            node = self.accept_request()
             process.send_signal(signal.SIGTERM)
             late = self.client(PING)
             self.assert_received(late, b"+PONG\r\n")  # it still accepts connections
@@ -253,7 +253,7 @@
             config["settings"]["membership-mode"] = "push"
             with self.start_listening(config) as process:
                 client = self.client(get())
-                node = self.at_node()
+                node = self.accept_request()
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
                 node.conn.send(SERVED)
@@ -273,7 +273,7 @@
             process.send_signal(signal.SIGTERM)
             self.until_logged(process, "listener_closed")
             client.conn.send(get())
-            self.at_node().conn.send(SERVED)
+            self.accept_request().conn.send(SERVED)
             self.assert_received(client, b"+PONG\r\n$1\r\nV\r\n")
             self.until(lambda: client.ends, "the end")
             client.conn.close()
