--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -15,7 +15,7 @@
     def test_a_watch_is_resumed_by_version_and_each_line_is_an_update(self) -> None:
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
-        peer = self.follow(b"", delta(9, address="127.0.0.1:6380"))
+        peer = self.serve_watch(b"", delta(9, address="127.0.0.1:6380"))
         self.assertIn(b"GET /v1/endpoints?stream=1&index=4 HTTP/1.1\r\n", peer.received)
         self.until(lambda: self.updates, "a change")
         self.assertEqual((self.updates[0].kind, self.updates[0].version), (EndpointUpdateKind.DELTA, 9))
@@ -26,7 +26,7 @@
         self.assertIsNone(self.registry.pool_for(b"s-1"))
         self.assertEqual(self.update_kinds(), ["DELTA", "DELTA", "FAILED"])
         self.assertEqual(len(self.discovery.peers), 1)
-        self.assertIn(b"index=11", self.follow(json.dumps(listing()).encode()).received)
+        self.assertIn(b"index=11", self.serve_watch(json.dumps(listing()).encode()).received)
         self.until(lambda: len(self.updates) == 4, "a snapshot")
         self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is listed again
         self.assertEqual([endpoint.server for endpoint in self.updates[3].endpoints], [b"s-1"])
@@ -77,7 +77,7 @@
 
     def test_a_server_first_listed_on_a_live_watch_has_recently_started(self) -> None:
         an_hour_ago = self.loop.now() - self.HOUR_MS
-        self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
+        self.serve_watch(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
         # The changes in the first object of a watch may have happened at any earlier time.
         self.assertGreater(self.loop.now() - self.updates[0].endpoints[0].started_at, self.HOUR_MS - 1)
@@ -89,7 +89,7 @@
 
     def test_a_removed_server_that_is_listed_again_with_the_same_start_keeps_its_age(self) -> None:
         an_hour_ago = self.loop.now() - self.HOUR_MS
-        self.follow(delta(5, name="s-1", since_ms=an_hour_ago))
+        self.serve_watch(delta(5, name="s-1", since_ms=an_hour_ago))
         self.until(lambda: self.updates, "the first change")
         self.age_of(delta(6, name="s-1", status="left"))
         self.assertGreater(self.age_of(delta(7, name="s-1", since_ms=an_hour_ago)), self.HOUR_MS - 1)
@@ -106,7 +106,7 @@
     def test_the_watch_is_resumed_and_the_previous_one_read_until_the_new_one_delivers(self) -> None:
         self.registry.load_cached(listing())
         pool = self.registry.pool_for(b"s-1")
-        previous = self.follow()
+        previous = self.serve_watch()
         self.registry.move_watch(self.discovery.address)  # the current address: no request
         self.registry.move_watch(self.moved.address)
         current = self.accept_request(0, self.moved)
@@ -128,7 +128,7 @@
 
     def test_unread_updates_of_the_previous_watch_are_applied_when_the_new_one_delivers(self) -> None:
         self.registry.load_cached(listing())
-        previous = self.follow(b"")
+        previous = self.serve_watch(b"")
         previous_watch = self.watch()
         self.until(lambda: previous_watch._has_response, "the watch")
         self.registry.move_watch(self.moved.address)
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -27,7 +27,7 @@
     def test_an_indented_list_split_over_several_reads_is_one_update(self) -> None:
         leaving = {"index": 9, "snapshot": False, "endpoints": [{**ENTRY, "status": "leaving"}]}
         lines = json.dumps(leaving, indent=2).encode().split(b"\n")
-        peer = self.follow(*lines[:7])
+        peer = self.serve_watch(*lines[:7])
         self.until(lambda: not self.watch()._objects.is_idle, "the first lines")
         peer.conn.send(chunks(*lines[7:]))
         self.until(lambda: self.updates, "the list")
@@ -57,7 +57,7 @@
 
     def test_updates_written_during_a_stall_are_read_before_the_silent_watch_ends(self) -> None:
         self.registry.load_cached(listing())
-        peer = self.follow(b"")
+        peer = self.serve_watch(b"")
         watch = self.watch()
         self.until(lambda: not watch._connection.connecting, "the watch")
         watch._connection.read_available()
@@ -73,7 +73,7 @@
     def test_an_invalid_line_or_status_ends_the_watch(self) -> None:
         for lines, status in (((b"{]",), b"200 OK"), ((b"[1]",), b"200 OK"), ((), b"503 No")):
             with self.subTest(lines=lines, status=status):
-                self.follow(*lines, status=status)
+                self.serve_watch(*lines, status=status)
                 self.until(lambda: self.updates, "a failure")
                 self.assertIs(self.updates.pop().kind, EndpointUpdateKind.FAILED)
         self.assertEqual(len(self.discovery.peers), 3)
@@ -82,7 +82,7 @@
         self.open_watch().reset()
         self.until(lambda: self.updates, "the reset")
         with silence_timeout(50.0):
-            self.follow()
+            self.serve_watch()
             self.until(lambda: len(self.updates) == 2, "silence")
         self.discovery.close()
         self.registry.open_watch()
--- a/tests/support/discovery_scene.py
+++ b/tests/support/discovery_scene.py
@@ -48,7 +48,7 @@
         self.registry.open_watch()
         return self.accept_request(opened_before, self.discovery)
 
-    def follow(self, *lines: bytes, status: bytes = b"200 OK") -> RecordingPeer:
+    def serve_watch(self, *lines: bytes, status: bytes = b"200 OK") -> RecordingPeer:
         """Open a watch, answer with one chunk for each line, and return discovery's end of the connection."""
         peer = self.open_watch()
         peer.conn.send(STREAM_HEAD.replace(b"200 OK", status))
