--- a/tests/net/test_endpoint_parser.py
+++ b/tests/net/test_endpoint_parser.py
@@ -6,17 +6,17 @@
 from unittest import mock
 
 from lupinladder.balancing.events import Endpoint, EndpointState
-from tests.support.endpoint_lists import ENTRY, PARSER, listing
+from tests.support.endpoint_lists import ENTRY, PARSER, endpoint_snapshot
 
 
 class EndpointLists(unittest.TestCase):
     def test_a_list_is_parsed_into_version_endpoints_and_addresses(self) -> None:
-        endpoint_list = PARSER.read(listing())
+        endpoint_list = PARSER.read(endpoint_snapshot())
         self.assertEqual((endpoint_list.version, endpoint_list.is_snapshot), (4, True))
         self.assertEqual(endpoint_list.addresses, {b"s-1": ("127.0.0.1", 6379)})
         ready = Endpoint(b"s-1", EndpointState.READY, 1.0, 1796120872235.0, 1, 3, 1)
         self.assertEqual(endpoint_list.endpoints, [ready])
-        endpoint_list = PARSER.read(listing(status="left", address="", since_ms=0))
+        endpoint_list = PARSER.read(endpoint_snapshot(status="left", address="", since_ms=0))
         [gone] = endpoint_list.endpoints
         self.assertEqual(
             (gone.state, gone.started_at, endpoint_list.addresses), (EndpointState.GONE, 0.0, {})
--- a/tests/net/test_endpoint_registry.py
+++ b/tests/net/test_endpoint_registry.py
@@ -7,13 +7,13 @@
 
 from lupinladder.balancing.events import EndpointUpdateKind
 from tests.support.discovery_scene import STREAM_HEAD, DiscoveryScene, chunks, delta
-from tests.support.endpoint_lists import listing
+from tests.support.endpoint_lists import endpoint_snapshot
 from tests.support.network_scene import RecordingListener
 
 
 class Updates(DiscoveryScene):
     def test_a_watch_is_resumed_by_version_and_each_line_is_an_update(self) -> None:
-        self.registry.load_cached(listing())
+        self.registry.load_cached(endpoint_snapshot())
         pool = self.registry.pool_for(b"s-1")
         peer = self.serve_watch(b"", delta(9, address="127.0.0.1:6380"))
         self.assertIn(b"GET /v1/endpoints?stream=1&index=4 HTTP/1.1\r\n", peer.received)
@@ -26,7 +26,7 @@
         self.assertIsNone(self.registry.pool_for(b"s-1"))
         self.assertEqual(self.update_kinds(), ["DELTA", "DELTA", "FAILED"])
         self.assertEqual(len(self.discovery.peers), 1)
-        self.assertIn(b"index=11", self.serve_watch(json.dumps(listing()).encode()).received)
+        self.assertIn(b"index=11", self.serve_watch(json.dumps(endpoint_snapshot()).encode()).received)
         self.until(lambda: len(self.updates) == 4, "a snapshot")
         self.assertIs(self.updates[3].kind, EndpointUpdateKind.DIFFERENCE)  # s-1 is listed again
         self.assertEqual([endpoint.server for endpoint in self.updates[3].endpoints], [b"s-1"])
@@ -104,7 +104,7 @@
         self.addCleanup(self.moved.close)
 
     def test_the_watch_is_resumed_and_the_previous_one_read_until_the_new_one_delivers(self) -> None:
-        self.registry.load_cached(listing())
+        self.registry.load_cached(endpoint_snapshot())
         pool = self.registry.pool_for(b"s-1")
         previous = self.serve_watch()
         self.registry.move_watch(self.discovery.address)  # the current address: no request
@@ -127,7 +127,7 @@
         self.assertEqual((len(self.discovery.peers), len(self.moved.peers)), (1, 1))
 
     def test_unread_updates_of_the_previous_watch_are_applied_when_the_new_one_delivers(self) -> None:
-        self.registry.load_cached(listing())
+        self.registry.load_cached(endpoint_snapshot())
         previous = self.serve_watch(b"")
         previous_watch = self.watch()
         self.until(lambda: previous_watch._has_response, "the watch")
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -14,7 +14,7 @@
 from lupinladder.net.discovery.endpoint_watch import WATCH_SILENCE_TIMEOUT_MS
 from lupinladder.net.event_loop import EventLoop, WatchRank
 from tests.support.discovery_scene import STREAM_HEAD, DiscoveryScene, chunks, delta
-from tests.support.endpoint_lists import ENTRY, listing
+from tests.support.endpoint_lists import ENTRY, endpoint_snapshot
 from tests.support.network_scene import RecordingPeer
 
 
@@ -56,7 +56,7 @@
             self.loop.call_at(self.loop.now() + 5, lambda: self.trickle(peer, data))
 
     def test_updates_written_during_a_stall_are_read_before_the_silent_watch_ends(self) -> None:
-        self.registry.load_cached(listing())
+        self.registry.load_cached(endpoint_snapshot())
         peer = self.serve_watch(b"")
         watch = self.watch()
         self.until(lambda: not watch._connection.connecting, "the watch")
--- a/tests/net/test_json_object_stream.py
+++ b/tests/net/test_json_object_stream.py
@@ -7,7 +7,7 @@
 
 from lupinladder.net.discovery.endpoint_list_decoder import EndpointListDecoder
 from lupinladder.net.discovery.json_object_stream import JsonObjectStream
-from tests.support.endpoint_lists import listing
+from tests.support.endpoint_lists import endpoint_snapshot
 
 MAX_BYTES = 1 << 20
 
@@ -21,7 +21,7 @@
 
 class JsonObjects(unittest.TestCase):
     def test_objects_on_one_line_or_indented_are_read(self) -> None:
-        tree = listing(name='a{"[\\')
+        tree = endpoint_snapshot(name='a{"[\\')
         flat, indented = json.dumps(tree), json.dumps(tree, indent=2)
         for text, expected in (
             (flat, [tree]),
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -22,7 +22,7 @@
 PARSER = EndpointParser(["a", "b"], ["m2", "origin"])
 
 
-def listing(**changes: object) -> dict[str, object]:
+def endpoint_snapshot(**changes: object) -> dict[str, object]:
     """Return a snapshot that holds only the endpoint `ENTRY`, with these fields changed."""
     return {"index": 4, "snapshot": True, "endpoints": [{**ENTRY, **changes}]}
 
@@ -40,6 +40,6 @@
         "discovery": "127.0.0.1:7002",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": listing(),
+        "known": endpoint_snapshot(),
         "settings": settings,
     }
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lupinladder.net.discovery.endpoint_parser import parse_address
-from tests.support.endpoint_lists import configuration, listing
+from tests.support.endpoint_lists import configuration, endpoint_snapshot
 from tests.support.network_scene import NetworkScene
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -51,7 +51,9 @@
         config = configuration()
         with socket.create_server(("127.0.0.1", 0)) as spare:
             config["listen"] = f"127.0.0.1:{spare.getsockname()[1]}"
-        config["known"] = listing(type="m2", address=f"127.0.0.1:{self.node.address[1]}", since_ms=0)
+        config["known"] = endpoint_snapshot(
+            type="m2", address=f"127.0.0.1:{self.node.address[1]}", since_ms=0
+        )
         return config
 
     def until_logged(self, process: subprocess.Popen[bytes], event: str) -> bytes:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -15,7 +15,7 @@
 
 from lupinladder.net.discovery.endpoint_parser import parse_address
 from lupinladder.net.log import log_event
-from tests.support.endpoint_lists import listing
+from tests.support.endpoint_lists import endpoint_snapshot
 from tests.support.network_scene import SERVED, NetworkScene, RecordingListener, RecordingPeer, get
 from tests.support.proxy_process import END_TIMEOUT_S, PING, ROOT, ProxyProcess
 
@@ -212,7 +212,7 @@
         for number in range(3):
             self.accept_request(number, discovery).reset()
         watch = self.accept_request(3, discovery)
-        draining = listing(type="m2", status="leaving", since_ms=0)
+        draining = endpoint_snapshot(type="m2", status="leaving", since_ms=0)
         text = json.dumps({**draining, "index": 9, "snapshot": False}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         watch.conn.send(head + b"%x\r\n%b\r\n" % (len(text), text))
