--- a/benchmarks/fleet_sums.py
+++ b/benchmarks/fleet_sums.py
@@ -24,7 +24,7 @@
     fleet.run(10_000, REQUESTS_PER_SECOND)
     return {
         "requests a second sent to a slow server": sum(node.sent[s] for s in range(5, 10)) / 5,
-        "share of requests answered in time meanwhile": fleet.served(5, 10),
+        "share of requests answered in time meanwhile": fleet.in_time_share(5, 10),
     }
 
 
@@ -36,7 +36,7 @@
 
 
 def cold_server(fleet: Fleet) -> dict[str, float]:
-    node = fleet.join()
+    node = fleet.add_node()
     fleet.run(14_000, REQUESTS_PER_SECOND)
     origin = fleet.nodes[ORIGIN]
     return {
--- a/benchmarks/model_fleet.py
+++ b/benchmarks/model_fleet.py
@@ -170,7 +170,7 @@
         self.at(self.now + ONE_WAY_DELAY_MS, lambda: job.end(end, load))
         self.start_next(node)
 
-    def join(self) -> Node:
+    def add_node(self) -> Node:
         """Add a server that starts now; all balancers are notified immediately."""
         node = Node(len(self.nodes))
         self.nodes[node.id] = node
@@ -190,7 +190,7 @@
             call()
         self.now = until
 
-    def served(self, since: int, until: int) -> float:
+    def in_time_share(self, since: int, until: int) -> float:
         """Return the share of the requests of these seconds that were answered in time."""
         seconds = range(since, until)
         return sum(self.in_time[s] for s in seconds) / sum(self.received[s] for s in seconds)
--- a/tests/balancing/test_many_balancers.py
+++ b/tests/balancing/test_many_balancers.py
@@ -87,7 +87,7 @@
         for seed in (7, 8):
             fleet = Fleet(100, 12, seed)
             fleet.run(4000, 200)
-            node = fleet.join()
+            node = fleet.add_node()
             fleet.run(9000, 200)
             offered += sum(node.sent[s] for s in range(4, 9)) / 10
             warm += sum(sum(other.sent[s] for s in range(4, 9)) for other in fleet.nodes.values()) / 14 / 10
@@ -164,12 +164,12 @@
         self.assertEqual(send(proxy, 2), first)
 
     def test_load_reports_let_forty_balancers_serve_more_requests_in_time(self) -> None:
-        def served() -> float:
+        def in_time_share() -> float:
             fleets = [Fleet(40, 12, seed) for seed in (7, 8)]
             for fleet in fleets:
                 fleet.run(10_000, 170)
-            return sum(fleet.served(2, 10) for fleet in fleets) / 2
+            return sum(fleet.in_time_share(2, 10) for fleet in fleets) / 2
 
         with mock.patch.object(Server, "on_load_report", lambda *_: None):
-            without_reports = served()
-        self.assertGreater(served(), without_reports + 0.005)
+            without_reports = in_time_share()
+        self.assertGreater(in_time_share(), without_reports + 0.005)
