--- a/lupinladder/cli/emulator/scenarios.py
+++ b/lupinladder/cli/emulator/scenarios.py
@@ -14,7 +14,7 @@
 from lupinladder.operator_config.toml_decoder import TomlError
 
 UNSCALED_FAULTS = ("kill", "term", "rolling-restart", "silent")
-"""Faults that last as long as a process takes to stop or start; their duration is not scaled."""
+"""Faults whose duration is set by a process, which is as fast in a shorter run; it is not scaled."""
 
 
 def read_scenario(name: str, seed: int | None = None, seconds: float | None = None) -> Scenario:
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -141,7 +141,7 @@
         assert self.now < seen_request.deadline, "a request was sent after its deadline"
         assert len(seen_request.attempts) < self.config.max_attempts, "more attempts than allowed"
         assert self.known_endpoints[server].state is EndpointState.READY, (
-            "the server of an attempt is not ready"
+            "a server that drains or is gone got a request"
         )
         if not self.config.may_duplicate:
             assert None not in seen_request.outcomes, "a request has two attempts in flight"
