--- a/lupinladder/cli/emulator/live_view.py
+++ b/lupinladder/cli/emulator/live_view.py
@@ -1,4 +1,4 @@
-"""The live view of a run."""
+"""The live view of a run in the terminal."""
 
 from __future__ import annotations
 
@@ -9,35 +9,37 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from lupinladder.cli.emulator.console import errors
+from lupinladder.cli.emulator.console import error_console
 from lupinladder.emulator.result_statistics import outcome_of
 from lupinladder.emulator.run import Run
 from lupinladder.emulator.scenario import Scenario
 
 REFRESHES_PER_S = 4
-RECENT_S = 2  # over which the share in time is shown
+RECENT_S = 2  # period over which the share of requests served in time is computed
 MAX_RECENT_RESULTS = 2000
 MAX_NODES = 24
 MAX_MARKS = 4
-MAX_BAR_LENGTH = 40  # characters, one for each request that a node holds
+MAX_BAR_LENGTH = 40  # characters, one for each request queued or processed at a node
 
 
 class LiveView:
-    """A progress bar, the share in time, what the nodes hold, and what has just happened."""
+    """Shows progress, the share of requests served in time, the load of each node and the latest faults."""
 
-    def __init__(self, played: Scenario, quiet: bool) -> None:
-        """With `quiet`, or without a terminal, only the proxies' addresses are told."""
-        self._scenario = played
-        self._quiet = quiet or not errors.is_terminal
+    def __init__(self, scenario: Scenario, quiet: bool) -> None:
+        """With `quiet`, or without a terminal, only the addresses of the proxies are printed."""
+        self._scenario = scenario
+        self._quiet = quiet or not error_console.is_terminal
         self._progress = Progress(
             TextColumn("{task.description}"),
             BarColumn(),
             TextColumn("{task.completed:.0f} of {task.total:.0f} s"),
             TimeRemainingColumn(),
-            console=errors,
+            console=error_console,
+        )
+        self._task = self._progress.add_task("playing", total=scenario.seconds)
+        self._live = Live(
+            self._progress, console=error_console, refresh_per_second=REFRESHES_PER_S, transient=True
         )
-        self._task = self._progress.add_task("playing", total=played.seconds)
-        self._live = Live(self._progress, console=errors, refresh_per_second=REFRESHES_PER_S, transient=True)
         self._addresses_shown = False
 
     def __enter__(self) -> LiveView:
@@ -50,11 +52,13 @@
             self._live.stop()
 
     def update(self, at: float, run: Run) -> None:
-        """Show the run as it is at this second of the counted part."""
+        """Show the state of the run, `at` seconds after the start of its measured part."""
         if not self._addresses_shown:
             self._addresses_shown = True
             addresses = ", ".join(proxy.address for proxy in run.proxies.all)
-            errors.print(f"proxies listen at {addresses}; any RESP client may talk to them while this runs")
+            error_console.print(
+                f"proxies listen at {addresses}; any RESP client can connect to them during the run"
+            )
         self._progress.update(self._task, completed=max(0.0, min(at, self._scenario.seconds)))
         if self._quiet:
             return
@@ -65,12 +69,12 @@
 
     def _state_table(self, at: float, run: Run) -> Table:
         table = Table.grid(padding=(0, 2))
-        table.add_row("in time lately", self._recent_share(at, run), "open", str(run.clients.open_requests))
-        table.add_row("origin holds", str(run.cluster.origin.model.queue.job_count), "", "")
+        table.add_row("recently in time", self._recent_share(at, run), "open", str(run.clients.open_requests))
+        table.add_row("requests at the origin", str(run.cluster.origin.model.queue.job_count), "", "")
         for row in islice(_node_rows(run), MAX_NODES):
             table.add_row(*row)
-        for when, what in run.faults.marks[-MAX_MARKS:]:
-            table.add_row(f"{when:6.1f} s", what)
+        for marked_at, text in run.faults.events[-MAX_MARKS:]:
+            table.add_row(f"{marked_at:6.1f} s", text)
         return table
 
     def _recent_share(self, at: float, run: Run) -> str:
@@ -86,7 +90,7 @@
 def _node_rows(run: Run) -> Iterator[tuple[str, str, str, str]]:
     now = run.clock.now()
     for name, node in run.cluster.nodes.items():
-        machine = node.model.queue
-        warmth = machine.warmth(now)
+        request_queue = node.model.queue
+        warmth = request_queue.warmth(now)
         state = "" if warmth >= 1 else f"cold, {warmth:.0%}"
-        yield name, "#" * min(machine.job_count, MAX_BAR_LENGTH), "", state
+        yield name, "#" * min(request_queue.job_count, MAX_BAR_LENGTH), "", state
--- a/lupinladder/cli/emulator/scenarios.py
+++ b/lupinladder/cli/emulator/scenarios.py
@@ -1,4 +1,4 @@
-"""Reading scenarios: `lupinladder emulator list` and `check`."""
+"""Reading scenarios, and the commands `lupinladder emulator list` and `check`."""
 
 from __future__ import annotations
 
@@ -14,34 +14,37 @@
 from lupinladder.operator_config.toml_decoder import TomlError
 
 UNSCALED_FAULTS = ("kill", "term", "rolling-restart", "silent")
-"""Faults whose duration is that of a process, which does not go faster in a shorter run."""
+"""Faults whose duration is set by a process, which is as fast in a shorter run; it is not scaled."""
 
 
 def read_scenario(name: str, seed: int | None = None, seconds: float | None = None) -> Scenario:
-    """A scenario with what the command line sets otherwise. InputError if it cannot be used."""
+    """Read a scenario and apply the seed and the duration given on the command line.
+
+    Raises InputError if the scenario is invalid.
+    """
     try:
-        found = scenario.read(name)
+        loaded_scenario = scenario.read(name)
     except TomlError as error:
         raise InputError(str(error)) from None
     if seed is not None:
-        found.seed = seed
+        loaded_scenario.seed = seed
     if seconds is not None:
-        _scale(found, seconds)
-    return found
+        _scale(loaded_scenario, seconds)
+    return loaded_scenario
 
 
-def _scale(played: Scenario, seconds: float) -> None:
-    """Play it in so many seconds: load and faults keep their places in it. Drains last as long as before,
-    since the delay of the list does too."""
-    factor = seconds / played.seconds
-    played.seconds = seconds
-    for phase in played.load:
+def _scale(loaded_scenario: Scenario, seconds: float) -> None:
+    """Scale a scenario to this duration; load and faults keep their relative times. Drains are not scaled,
+    because the delay of the endpoint list is not scaled either."""
+    factor = seconds / loaded_scenario.seconds
+    loaded_scenario.seconds = seconds
+    for phase in loaded_scenario.load:
         phase.at *= factor
-    for fault in played.faults:
+    for fault in loaded_scenario.faults:
         fault.at *= factor
         if fault.kind not in UNSCALED_FAULTS:
             fault.for_s *= factor
-    for clients in played.misbehaving_clients:
+    for clients in loaded_scenario.misbehaving_clients:
         clients.at *= factor
         clients.for_s *= factor
 
@@ -49,13 +52,13 @@
 @emulator.command("list")
 @example("lupinladder emulator list")
 def list_scenarios() -> None:
-    """The scenarios that come with the program."""
+    """List the scenarios that ship with the program."""
     table = Table()
     for name in ("name", "seconds", "about"):
         table.add_column(name)
     for name in scenario.shipped():
-        found = scenario.read(name)
-        table.add_row(name, f"{found.seconds:g}", found.about)
+        loaded_scenario = scenario.read(name)
+        table.add_row(name, f"{loaded_scenario.seconds:g}", loaded_scenario.about)
     console.print(table)
 
 
@@ -63,7 +66,7 @@
 @click.argument("name", metavar="SCENARIO")
 @example("lupinladder emulator check mine.toml")
 def check(name: str) -> None:
-    """Read a scenario and say what is wrong with it."""
-    found = read_scenario(name)
-    counts = f"{len(found.faults)} faults, {len(found.load)} steps of load"
-    click.echo(f"{name}: {found.seconds:g} s, {counts}: good")
+    """Check a scenario and report the first error in it."""
+    loaded_scenario = read_scenario(name)
+    counts = f"{len(loaded_scenario.faults)} faults, {len(loaded_scenario.load)} load phases"
+    click.echo(f"{name}: {loaded_scenario.seconds:g} s, {counts}: valid")
--- a/lupinladder/emulator/faults.py
+++ b/lupinladder/emulator/faults.py
@@ -23,7 +23,7 @@
 
     def __init__(self, cluster: Cluster, proxies: Proxies, selector: ProxySelector, start: float) -> None:
         """`start` is the time in ms at which the measured part of the run starts."""
-        self.marks: list[tuple[float, str]] = []  # seconds from the start, and a description
+        self.events: list[tuple[float, str]] = []  # seconds from the start, and a description
         self.errors: list[str] = []  # errors of fault handlers; any error makes the run void
         self._clock = cluster.clock
         self._start = start
@@ -38,7 +38,7 @@
         cluster.on_change = self._record_event
 
     def _record_event(self, description: str) -> None:
-        self.marks.append(((self._clock.now() - self._start) / 1000, description))
+        self.events.append(((self._clock.now() - self._start) / 1000, description))
 
     def schedule(self, faults: list[FaultConfig]) -> None:
         """Schedule these faults at their times."""
--- a/lupinladder/emulator/run.py
+++ b/lupinladder/emulator/run.py
@@ -208,7 +208,7 @@
             violations=self.rule_checker.violations,
             counts=self.rule_checker.counts,
             snapshots=self._snapshots,
-            events=self.faults.marks,
+            events=self.faults.events,
             proxies=self.proxies.all,
             late_share=late_share,
             max_lateness_ms=max(self._lateness.lags, default=0.0),
--- a/tests/balancing/test_balancer_rules.py
+++ b/tests/balancing/test_balancer_rules.py
@@ -27,7 +27,7 @@
 from lupinladder.balancing.server import Server
 from lupinladder.balancing.settings import RetrySafety, Settings
 from tests.support import balancer_harness
-from tests.support.balancer_harness import Proxy, entries, sid
+from tests.support.balancer_harness import Proxy, entries, server_id
 
 SEEDED = settings(derandomize=True, deadline=None, max_examples=30)
 OUTCOMES = list(Outcome)
@@ -39,7 +39,9 @@
     conf = balancer_harness.settings(**config)
     proxy = Proxy(Balancer(conf, seed, 0.0), conf)
     server_kinds = {0: 0, 1: 1} if conf.cache_aside else {}
-    listed = [Endpoint(sid(i), zone=i % 2, cell=i % 3, server_kind=server_kinds.get(i, 0)) for i in range(8)]
+    listed = [
+        Endpoint(server_id(i), zone=i % 2, cell=i % 3, server_kind=server_kinds.get(i, 0)) for i in range(8)
+    ]
     proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, listed))
     for n in range(400):
         proxy.advance(proxy.now + rng.choice([0, 1, 5, 40]))
@@ -48,16 +50,16 @@
             timeout = rng.choice([0, 30, 300, 1500])
             key, write = rng.randrange(6), rng.random() < 0.2
             proxy.feed(RequestReceived(n, rng.randrange(5), timeout, key, 0, write))
-        elif event_choice < 0.94 and proxy.out():
-            request_id, attempt = rng.choice(proxy.out())
+        elif event_choice < 0.94 and proxy.outstanding():
+            request_id, attempt = rng.choice(proxy.outstanding())
             proxy.end(request_id, attempt, rng.choice(OUTCOMES))
-        elif event_choice < 0.95 and proxy.seen:
-            request_id = rng.choice(list(proxy.seen))
+        elif event_choice < 0.95 and proxy.requests:
+            request_id = rng.choice(list(proxy.requests))
             proxy.feed(ClientDisconnected(request_id))
         else:
             i = rng.randrange(9)
             changed = Endpoint(
-                sid(i),
+                server_id(i),
                 rng.choice(list(EndpointState)),
                 zone=i % 2,
                 cell=i % 3,
@@ -66,7 +68,7 @@
             )
             proxy.feed(EndpointUpdate(EndpointUpdateKind.DELTA, n + 2, [changed]))
     proxy.advance(proxy.now + 5000)
-    unanswered = [i for i, request in proxy.seen.items() if not request.answered]
+    unanswered = [i for i, request in proxy.requests.items() if not request.answered]
     assert not unanswered, f"requests without an answer: {unanswered}"
     assert not proxy.balancer.open_requests, "requests still open after their end"
     return proxy
@@ -173,7 +175,7 @@
         proxy.feed(EndpointUpdate(EndpointUpdateKind.CACHED, 1, entries(6)))
     service_ms, highest_share, now = 40.0, 0.0, 0.0
     scheduled_ends: list[tuple[float, Proxy, int]] = []
-    added = [sid(i) for i in range(20, 23)]
+    added = [server_id(i) for i in range(20, 23)]
     n = 0
     added_at = 4000 + idle_ms
     request_chance = 0.25  # 125 per second over six warm servers that handle 25 each
@@ -181,7 +183,7 @@
         now += 2
         for at, proxy, request_id in [e for e in scheduled_ends if e[0] <= now]:
             proxy.now = now
-            proxy.end(request_id, len(proxy.seen[request_id].tries) - 1, Outcome.OK, service_ms)
+            proxy.end(request_id, len(proxy.requests[request_id].attempts) - 1, Outcome.OK, service_ms)
             scheduled_ends.remove((at, proxy, request_id))
         if now == 4000:
             now = added_at
@@ -194,7 +196,7 @@
             proxy, n = rng.choice(proxies), n + 1
             proxy.now = now
             proxy.feed(RequestReceived(n, 0, 1500, rng.randrange(1, 400)))
-            if proxy.seen[n].tries:
+            if proxy.requests[n].attempts:
                 scheduled_ends.append((now + service_ms, proxy, n))
     for server in added:
         times = sorted(at for proxy in proxies for at, to in proxy.sends if to == server)
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -12,7 +12,7 @@
 from lupinladder.net import connection
 from lupinladder.net.client_connection import MAX_PIPELINE_DEPTH
 from lupinladder.net.connection import Connection
-from tests.support.network_scene import MISSED, NODE, ORIGIN, SERVED, NetworkScene, get, once_to
+from tests.support.network_scene import MISSED, NODE, ORIGIN, SERVED, NetworkScene, get, send_once_to
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 HTTP_OK = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nV"
@@ -21,50 +21,52 @@
 class Forwarding(NetworkScene):
     def test_a_command_is_forwarded_with_only_the_deadline_changed(self) -> None:
         client = self.client(get())
-        node = self.at_node()
-        head, deadline = node.got.rsplit(b"d=", 1)
+        node = self.accept_request()
+        head, deadline = node.received.rsplit(b"d=", 1)
         self.assertEqual(head, get().rsplit(b"d=", 1)[0])
         self.assertIn(int(deadline), range(1, 901))
         node.conn.send(SERVED)
-        self.answers(client, b"$1\r\nV\r\n")
-        self.assertEqual(self.script.ends(), [(0, "OK", True)])
+        self.assert_received(client, b"$1\r\nV\r\n")
+        self.assertEqual(self.balancer.ends(), [(0, "OK", True)])
 
     def test_a_miss_is_sent_to_the_origin(self) -> None:
-        self.script.react = once_to(then=StartAttempt(1, ORIGIN))
+        self.balancer.react = send_once_to(then=StartAttempt(1, ORIGIN))
         client = self.client(get())
-        self.at_node().conn.send(MISSED)
-        origin = self.at_node(0, self.origin)
-        self.assertIn(b"GET /1f HTTP/1.1\r\n", origin.got)
-        self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.got)
+        self.accept_request().conn.send(MISSED)
+        origin = self.accept_request(0, self.origin)
+        self.assertIn(b"GET /1f HTTP/1.1\r\n", origin.received)
+        self.assertIn(b"X-Txn: a\r\nX-Labels: c=read,d=", origin.received)
         origin.conn.send(HTTP_OK)
-        self.answers(client, b"$1\r\nV\r\n")
-        self.assertEqual(self.script.ends(), [(0, "MISS", False), (1, "OK", True)])
+        self.assert_received(client, b"$1\r\nV\r\n")
+        self.assertEqual(self.balancer.ends(), [(0, "MISS", False), (1, "OK", True)])
 
     def test_a_value_larger_than_clients_may_store_is_served_whole(self) -> None:
         value = b"x" * 400_000
         client = self.client(get())
-        self.at_node().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
-        self.answers(client, b"$400000\r\n%b\r\n" % value)
-        self.script.react = once_to(ORIGIN)
-        client.got = b""
+        self.accept_request().conn.send(b"*3\r\n$400000\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % value)
+        self.assert_received(client, b"$400000\r\n%b\r\n" % value)
+        self.balancer.react = send_once_to(ORIGIN)
+        client.received = b""
         client.conn.send(get())
-        self.at_node(0, self.origin).conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value)
-        self.answers(client, b"$400000\r\n%b\r\n" % value)
+        self.accept_request(0, self.origin).conn.send(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + value
+        )
+        self.assert_received(client, b"$400000\r\n%b\r\n" % value)
 
     def test_a_rejection_contains_the_time_after_which_to_retry(self) -> None:
-        self.script.react = lambda event: [Reject(event.request_id, 75.0)]
-        self.answers(self.client(get()), b"-BUSY 75\r\n")
+        self.balancer.react = lambda event: [Reject(event.request_id, 75.0)]
+        self.assert_received(self.client(get()), b"-BUSY 75\r\n")
 
     def test_time_unread_during_a_long_loop_iteration_is_subtracted_from_the_timeout(self) -> None:
         client = self.client(PING)
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         for request_id, latency, timeout in ((b"a", 0.4, 900), (b"b", 300.0, 600), (b"c", 5000.0, 1)):
             client.conn.send(get(request_id))
-            count = len(self.script.events)
-            while len(self.script.events) == count:
+            count = len(self.balancer.events)
+            while len(self.balancer.events) == count:
                 self.loop._iteration_started_at -= latency
                 self.loop.run_once()
-            [request] = [e for e in self.script.events[count:] if isinstance(e, RequestReceived)]
+            [request] = [e for e in self.balancer.events[count:] if isinstance(e, RequestReceived)]
             self.assertTrue(max(timeout - 20, 1) <= request.timeout <= timeout, request.timeout)
             self.assertTrue(latency > 1 or request.timeout == timeout)  # a short iteration is not subtracted
 
@@ -73,68 +75,68 @@
     def test_pipelined_commands_are_answered_in_order_even_if_some_are_invalid(self) -> None:
         invalid = b"*1\r\n$7\r\nOBJ.GET\r\n"
         client = self.client(get() + PING + invalid + get(b"b"))
-        first = self.at_node(0)
-        second = self.at_node(1)
+        first = self.accept_request(0)
+        second = self.accept_request(1)
         second.conn.send(SERVED)
-        self.until(lambda: self.script.ends(), "the second answer")
-        self.assertEqual(client.got, b"")  # the first reply is still pending
+        self.until(lambda: self.balancer.ends(), "the second answer")
+        self.assertEqual(client.received, b"")  # the first reply is still pending
         first.conn.send(SERVED)
         value = b"$1\r\nV\r\n"
-        self.answers(client, value + b"+PONG\r\n-ERR wrong number of arguments\r\n" + value)
+        self.assert_received(client, value + b"+PONG\r\n-ERR wrong number of arguments\r\n" + value)
 
     def test_more_commands_than_the_pipeline_depth_and_the_recursion_limit_are_answered(self) -> None:
         client = self.client(PING * 9000)
-        self.answers(client, b"+PONG\r\n" * 9000)
+        self.assert_received(client, b"+PONG\r\n" * 9000)
 
     def test_time_unread_behind_a_full_pipeline_is_subtracted_from_the_timeout(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         self.client(
             b"".join(get(b"%c" % letter) for letter in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 1])
         )
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         full_until = self.loop.now() + 200
         self.loop.call_at(full_until, lambda: None)
         self.until(lambda: self.loop.now() >= full_until, "200 ms with a full pipeline")
-        self.script.react = lambda event: [Reject(1)] if isinstance(event, TimerFired) else []
-        self.engine.notify(TimerFired(1))
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH + 2, "the next command")
-        last = self.script.events[-1]
+        self.balancer.react = lambda event: [Reject(1)] if isinstance(event, TimerFired) else []
+        self.dispatcher.notify(TimerFired(1))
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH + 2, "the next command")
+        last = self.balancer.events[-1]
         assert isinstance(last, RequestReceived)
         self.assertTrue(600 <= last.timeout <= 700, last.timeout)
 
     def test_a_slow_reader_is_not_read_from_and_receives_every_reply(self) -> None:
         value = b"$65536\r\n" + b"x" * 65536 + b"\r\n"
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client()
         client.conn._loop.watch(client.conn._sock, client.conn._mask, 0, client.conn._on_ready)
         client.conn._mask = 0  # the client does not read
         client.conn._sock.setblocking(True)
         client.conn._sock.sendall(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:40]))
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
-        for request in self.engine._requests.unfinished():
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        for request in self.dispatcher._requests.unfinished():
             assert request.handler
             request.handler.on_served(b"x" * 65536)
-        [accepted] = [one.conn for one in self.front.clients]
+        [accepted] = [one.conn for one in self.listener.clients]
         self.until(lambda: accepted.bytes_sent > 0, "some bytes")
         self.assertLessEqual(len(accepted.outbox), accepted.outbox.max_size)
         client.conn._sock.setblocking(False)
         client.conn._update_watch()
-        self.until(lambda: len(client.got) >= 32 * len(value), "all answers")
-        self.assertEqual(client.got, value * 32)
+        self.until(lambda: len(client.received) >= 32 * len(value), "all answers")
+        self.assertEqual(client.received, value * 32)
 
 
 class FramingErrors(NetworkScene):
     def test_a_framing_error_is_sent_after_the_pending_replies_and_closes_the_connection(self) -> None:
         client = self.client(get() + b"GET / HTTP/1.1\r\n\r\n")
-        self.at_node().conn.send(SERVED)
+        self.accept_request().conn.send(SERVED)
         self.until(lambda: client.ends, "a close")
-        self.assertEqual(client.got, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
+        self.assertEqual(client.received, b"$1\r\nV\r\n-ERR Protocol error: unknown type byte\r\n")
         self.assertEqual(client.ends, [True])  # closed in order, not reset
 
     def test_a_client_that_keeps_sending_after_a_framing_error_is_closed(self) -> None:
         client = self.client()
-        self.until(lambda: self.front.clients, "a client")
-        [accepted] = self.front.clients
+        self.until(lambda: self.listener.clients, "a client")
+        [accepted] = self.listener.clients
 
         def flood() -> bool:
             if client.conn.is_open and client.conn.outbox.available_space >= 9000:
@@ -150,47 +152,49 @@
 
 class Disconnects(NetworkScene):
     def disconnected(self) -> set[int]:
-        return {event.request_id for event in self.script.events if isinstance(event, ClientDisconnected)}
+        return {event.request_id for event in self.balancer.events if isinstance(event, ClientDisconnected)}
 
     def test_a_client_that_ends_its_sending_or_resets_has_disconnected(self) -> None:
         client = self.client(get())
         resetting = self.client(get(b"b"))
-        node = self.at_node(0)
-        self.at_node(1)
+        node = self.accept_request(0)
+        self.accept_request(1)
         client.conn.send(get(b"c")[:9])
         client.conn._sock.shutdown(socket.SHUT_WR)
         resetting.reset()
         self.until(lambda: self.disconnected() == {1, 2}, "their disconnects")
         node.conn.send(SERVED)
         self.until(lambda: client.ends, "the close")
-        self.assertEqual((client.got, client.ends), (b"", [True]))
-        self.assertTrue(self.engine.is_idle)
-        self.assertFalse(self.front.open_request_ids or self.front.clients)
+        self.assertEqual((client.received, client.ends), (b"", [True]))
+        self.assertTrue(self.dispatcher.is_idle)
+        self.assertFalse(self.listener.open_request_ids or self.listener.clients)
 
     def test_replies_already_encoded_are_written_after_the_client_ended_its_sending(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(get() + PING + b"*1\r\n$3\r\nBAD\r\n" + get(b"b") + PING)
-        self.until(lambda: len(self.script.events) == 2, "both commands")
+        self.until(lambda: len(self.balancer.events) == 2, "both commands")
         with mock.patch.object(Connection, "_flush"):  # the system takes nothing
-            self.script.react = lambda event: [Reject(1)]
-            self.engine.notify(TimerFired(1))
+            self.balancer.react = lambda event: [Reject(1)]
+            self.dispatcher.notify(TimerFired(1))
             client.conn._sock.shutdown(socket.SHUT_WR)
             self.until(lambda: self.disconnected() == {2}, "its disconnect")
         self.until(lambda: client.ends, "the close")
         # The client would take a reply behind the dropped one for the dropped one.
-        self.assertEqual((client.got, client.ends), (b"-BUSY\r\n+PONG\r\n-ERR unknown command\r\n", [True]))
+        self.assertEqual(
+            (client.received, client.ends), (b"-BUSY\r\n+PONG\r\n-ERR unknown command\r\n", [True])
+        )
 
     def test_unread_commands_are_dropped_when_the_client_disconnects(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(
             b"".join(get(bytes([letter])) for letter in ascii_letters.encode()[: MAX_PIPELINE_DEPTH + 8])
         )
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
         client.conn._sock.shutdown(socket.SHUT_WR)
         self.until(lambda: client.ends, "the close")
-        received = [e for e in self.script.events if isinstance(e, RequestReceived)]
+        received = [e for e in self.balancer.events if isinstance(e, RequestReceived)]
         self.assertEqual((len(received), len(self.disconnected())), (MAX_PIPELINE_DEPTH, MAX_PIPELINE_DEPTH))
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
 
 
 class UndetectedDisconnects(NetworkScene):
@@ -198,16 +202,16 @@
 
     def test_a_request_read_together_with_the_disconnect_of_its_client_is_not_processed(self) -> None:
         client = self.client()
-        self.until(lambda: self.front.clients, "the client")
+        self.until(lambda: self.listener.clients, "the client")
         client.conn._sock.send(get())
         client.conn.close()
-        self.stand_still(1000)
-        self.until(lambda: not self.front.clients, "the disconnect")
-        self.assertFalse([e for e in self.script.events if isinstance(e, RequestReceived)])
+        self.stall(1000)
+        self.until(lambda: not self.listener.clients, "the disconnect")
+        self.assertFalse([e for e in self.balancer.events if isinstance(e, RequestReceived)])
 
     def test_a_failed_attempt_is_not_retried_if_the_disconnect_of_its_client_is_unread(self) -> None:
         retries = [StartAttempt(1, NODE)]
-        self.script.react = lambda e: (
+        self.balancer.react = lambda e: (
             [StartAttempt(e.request_id, NODE)]
             if isinstance(e, RequestReceived)
             else [retries.pop()]
@@ -215,54 +219,54 @@
             else []
         )
         client = self.client(get())
-        self.at_node().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
+        self.accept_request().conn.send(b"-ERR failed\r\n")  # this arrives before the end of the connection
         client.conn.close()
-        self.stand_still(300)
-        self.until(lambda: len(self.script.ends()) == 2, "the ends of both attempts")
-        self.assertEqual(self.script.ends()[1][1], "NOT_STARTED")
+        self.stall(300)
+        self.until(lambda: len(self.balancer.ends()) == 2, "the ends of both attempts")
+        self.assertEqual(self.balancer.ends()[1][1], "NOT_STARTED")
 
     def test_a_disconnect_behind_more_bytes_than_are_read_is_detected(self) -> None:
-        self.script.react = lambda event: []
+        self.balancer.react = lambda event: []
         client = self.client(b"".join(get(b"%c" % one) for one in ascii_letters.encode()[:32]))
-        self.until(lambda: len(self.script.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
-        [accepted] = [one.conn for one in self.front.clients]
+        self.until(lambda: len(self.balancer.events) == MAX_PIPELINE_DEPTH, "a full pipeline")
+        [accepted] = [one.conn for one in self.listener.clients]
         while accepted.inbox.available_space:
             client.conn._sock.send(b"x" * min(accepted.inbox.available_space, 4096))
             self.loop.run_once()
         client.conn._sock.send(b"x" * 4096)
         client.conn.close()
         disconnected_at = self.loop.now()
-        self.until(lambda: not self.front.clients, "the disconnect")
+        self.until(lambda: not self.listener.clients, "the disconnect")
         self.assertLess(self.loop.now() - disconnected_at, 400)  # earlier than the requests' deadlines
-        self.assertTrue(self.engine.is_idle)
+        self.assertTrue(self.dispatcher.is_idle)
 
 
 class RequestIds(NetworkScene):
     def test_the_id_of_an_open_request_is_an_error_until_it_is_answered_or_disconnected(self) -> None:
         first = self.client(get())
         disconnecting = self.client(get(b"b"))
-        node = self.at_node(0)
-        self.at_node(1)
+        node = self.accept_request(0)
+        self.accept_request(1)
         second = self.client(get() + get(b"b"))
-        self.answers(second, b"-ERR id is that of another open query\r\n" * 2)
-        self.assertEqual(len(self.script.events), 2)
+        self.assert_received(second, b"-ERR id is that of another open query\r\n" * 2)
+        self.assertEqual(len(self.balancer.events), 2)
         node.conn.send(SERVED)
-        self.answers(first, b"$1\r\nV\r\n")
+        self.assert_received(first, b"$1\r\nV\r\n")
         disconnecting.reset()
-        self.until(lambda: len(self.front.clients) == 2, "its disconnect")
+        self.until(lambda: len(self.listener.clients) == 2, "its disconnect")
         second.conn.send(get() + get(b"b"))
-        self.until(lambda: sum(isinstance(e, RequestReceived) for e in self.script.events) == 4, "both")
+        self.until(lambda: sum(isinstance(e, RequestReceived) for e in self.balancer.events) == 4, "both")
 
     def test_an_id_is_released_once_and_not_again_when_its_first_client_disconnects(self) -> None:
-        self.script.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
+        self.balancer.react = lambda event: [Reject(2)] if isinstance(event, TimerFired) else []
         first = self.client(get() + get(b"b"))
-        self.until(lambda: len(self.script.events) == 2, "both requests")
-        self.engine.notify(TimerFired(1))  # b has its reply, which waits for the reply to a
+        self.until(lambda: len(self.balancer.events) == 2, "both requests")
+        self.dispatcher.notify(TimerFired(1))  # b has its reply, which waits for the reply to a
         second = self.client(get(b"b"))
-        self.until(lambda: len(self.script.events) == 4, "the second request b")
+        self.until(lambda: len(self.balancer.events) == 4, "the second request b")
         first.reset()
-        self.until(lambda: len(self.front.clients) == 1, "the disconnect of the first client")
-        self.answers(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
+        self.until(lambda: len(self.listener.clients) == 1, "the disconnect of the first client")
+        self.assert_received(self.client(get(b"b")), b"-ERR id is that of another open query\r\n")
         second.conn.close()
 
 
@@ -275,6 +279,6 @@
                 get(b"x").replace(b"$12\r\n", b"$16\r\n").replace(b"c=", b"t=%b,c=" % t) for t in (b"z", b"b")
             )
         )
-        self.at_node()
-        self.assertEqual([e.tenant for e in self.script.events if isinstance(e, RequestReceived)], [1])
-        self.answers(client, b"-ERR tenant is unknown\r\n")
+        self.accept_request()
+        self.assertEqual([e.tenant for e in self.balancer.events if isinstance(e, RequestReceived)], [1])
+        self.assert_received(client, b"-ERR tenant is unknown\r\n")
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -12,7 +12,7 @@
     RecordingHandler,
     RecordingListener,
     RecordingPeer,
-    once_to,
+    send_once_to,
 )
 
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -23,22 +23,22 @@
     """A second copy of a reply may arrive some milliseconds late, and looks like the next reply."""
 
     def test_after_a_duplicate_reply_a_connection_is_not_reused_at_once(self) -> None:
-        first = self.ask()
-        node = self.at_node()
+        first = self.dispatch_read()
+        node = self.accept_request()
         node.conn.send(SERVED)
-        self.until(lambda: first.told, "a reply")
+        self.until(lambda: first.answers, "a reply")
         node.conn.send(SERVED)  # belongs to no request: the connection is closed, and the excess is recorded
         self.until(lambda: node.ends, "the end of the connection")
-        second = self.ask()
-        node = self.at_node(1)
+        second = self.dispatch_read()
+        node = self.accept_request(1)
         node.conn.send(SERVED.replace(b"V", b"2"))
-        self.until(lambda: second.told, "a reply")
-        third = self.ask()
-        third_node = self.at_node(2)  # not the connection on which the second copy will arrive
+        self.until(lambda: second.answers, "a reply")
+        third = self.dispatch_read()
+        third_node = self.accept_request(2)  # not the connection on which the second copy will arrive
         node.conn.send(SERVED.replace(b"V", b"2"))
         third_node.conn.send(SERVED.replace(b"V", b"3"))
-        self.until(lambda: third.told, "a reply")
-        self.assertEqual((second.told, third.told), ([b"2"], [b"3"]))
+        self.until(lambda: third.answers, "a reply")
+        self.assertEqual((second.answers, third.answers), ([b"2"], [b"3"]))
 
 
 class ConnectionReuse(NetworkScene):
@@ -46,14 +46,14 @@
 
     def test_the_last_used_is_reused_first_and_idle_ones_close_before_the_server_closes_them(self) -> None:
         for _ in range(2):
-            self.ask()
+            self.dispatch_read()
         for n in (0, 1):
-            self.at_node(n).conn.send(SERVED)
-            self.until(lambda: len(self.script.ends()) > n, "a reply")  # noqa: B023
-            self.node.peers[n].got = b""
+            self.accept_request(n).conn.send(SERVED)
+            self.until(lambda: len(self.balancer.ends()) > n, "a reply")  # noqa: B023
+            self.node.peers[n].received = b""
         started = self.loop.now()
-        self.ask()
-        self.at_node(1).conn.send(SERVED)
+        self.dispatch_read()
+        self.accept_request(1).conn.send(SERVED)
         self.until(lambda: self.node.peers[0].ends and self.node.peers[1].ends, "idle connections to close")
         self.assertLess(self.loop.now() - started, 2000)
         self.assertEqual(len(self.node.peers), 2)
@@ -69,24 +69,26 @@
         )
         for listener, server, reply, excess in cases:
             with self.subTest(server=server, excess=excess):
-                self.script.react = once_to(server)
+                self.balancer.react = send_once_to(server)
                 connections_before = len(listener.peers)
-                first = self.ask()
+                first = self.dispatch_read()
                 peer = self.peer_with_request(listener)
                 second = self.ask_again_when_served(first, peer, reply + excess, ends=not excess)
                 other_peer = self.peer_with_request(listener, other_than=peer)
                 other_peer.conn.send(reply)
-                self.until(lambda: second.told, "the second reply")  # noqa: B023
-                self.assertEqual((second.told, peer.got), ([b"V"], b""))
+                self.until(lambda: second.answers, "the second reply")  # noqa: B023
+                self.assertEqual((second.answers, peer.received), ([b"V"], b""))
                 self.assertGreater(len(listener.peers), connections_before)
-                other_peer.got = b""
+                other_peer.received = b""
 
     def peer_with_request(
         self, listener: RecordingListener, other_than: RecordingPeer | None = None
     ) -> RecordingPeer:
         """The only connection at a listener on which a request was received, except `other_than`."""
-        self.until(lambda: any(peer.got for peer in listener.peers if peer is not other_than), "a request")
-        [peer] = [peer for peer in listener.peers if peer.got]
+        self.until(
+            lambda: any(peer.received for peer in listener.peers if peer is not other_than), "a request"
+        )
+        [peer] = [peer for peer in listener.peers if peer.received]
         return peer
 
     def ask_again_when_served(
@@ -98,32 +100,32 @@
         def on_served(value: bytes) -> None:
             if ends:
                 peer.conn.close_gracefully()
-            second.append(self.ask())
+            second.append(self.dispatch_read())
 
         with mock.patch.object(first, "on_served", on_served):
-            peer.got = b""
+            peer.received = b""
             peer.conn.send(data)
             self.until(lambda: second, "a reply")
         return second[0]
 
     def test_late_excess_bytes_close_an_idle_connection_and_fail_no_request(self) -> None:
-        self.ask()
-        node = self.at_node()
+        self.dispatch_read()
+        node = self.accept_request()
         node.conn.send(SERVED)
-        self.until(lambda: self.script.ends(), "a reply")
+        self.until(lambda: self.balancer.ends(), "a reply")
         node.conn._sock.send(SERVED.replace(b"V", b"W"))  # received, but not read by the loop yet
-        handler = self.ask()
-        self.at_node(1).conn.send(SERVED)
-        self.until(lambda: handler.told, "a reply")
-        self.assertEqual(handler.told, [b"V"])
+        handler = self.dispatch_read()
+        self.accept_request(1).conn.send(SERVED)
+        self.until(lambda: handler.answers, "a reply")
+        self.assertEqual(handler.answers, [b"V"])
 
     def test_a_retired_pool_finishes_attempts_in_flight_and_keeps_no_connection(self) -> None:
-        handler = self.ask()
-        node = self.at_node()
-        self.links[NODE].retire()
+        handler = self.dispatch_read()
+        node = self.accept_request()
+        self.pools[NODE].retire()
         node.conn.send(SERVED)
-        self.until(lambda: handler.told and node.ends, "a reply and the end of the connection")
-        self.assertEqual(handler.told, [b"V"])
+        self.until(lambda: handler.answers and node.ends, "a reply and the end of the connection")
+        self.assertEqual(handler.answers, [b"V"])
 
 
 class DescriptorShortage(NetworkScene):
@@ -132,58 +134,58 @@
     MAX_OPEN = 3
 
     def test_attempts_share_a_connection_up_to_the_limit(self) -> None:
-        handlers = [self.ask(), self.ask(60), self.ask()]
-        self.until(lambda: handlers[2].told, "the third to be refused")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
-        node = self.at_node()
-        self.until(lambda: handlers[1].told, "the second to time out")
-        self.assertEqual(handlers[0].told, [])  # the other attempt on the connection is not aborted
+        handlers = [self.dispatch_read(), self.dispatch_read(60), self.dispatch_read()]
+        self.until(lambda: handlers[2].answers, "the third to be refused")
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
+        node = self.accept_request()
+        self.until(lambda: handlers[1].answers, "the second to time out")
+        self.assertEqual(handlers[0].answers, [])  # the other attempt on the connection is not aborted
         node.conn.send(SERVED * 2)
-        self.until(lambda: handlers[0].told, "the first reply")
-        self.assertEqual((handlers[0].told, handlers[1].told), ([b"V"], ["failed"]))
+        self.until(lambda: handlers[0].answers, "the first reply")
+        self.assertEqual((handlers[0].answers, handlers[1].answers), ([b"V"], ["failed"]))
 
     def test_an_idle_connection_is_closed_when_a_client_or_another_server_needs_its_descriptor(self) -> None:
-        handler = self.ask()
-        self.at_node().conn.send(SERVED)
-        self.until(lambda: handler.told, "the reply")
+        handler = self.dispatch_read()
+        self.accept_request().conn.send(SERVED)
+        self.until(lambda: handler.answers, "the reply")
         client = self.client(PING)  # the listener and the idle connection hold all descriptors
-        self.answers(client, b"+PONG\r\n")
+        self.assert_received(client, b"+PONG\r\n")
         self.until(lambda: self.node.peers[0].ends, "the idle connection to end")
         client.conn.close()
         self.until(lambda: self.budget.used == 1, "the client to be closed")
-        handler = self.ask()
-        self.at_node(1).conn.send(SERVED)
-        self.until(lambda: handler.told, "the reply")
-        self.script.react = once_to(ORIGIN)
-        handler = self.ask()
-        self.at_node(0, self.origin).conn.send(OK_HTTP)
-        self.until(lambda: handler.told, "the origin's reply")
+        handler = self.dispatch_read()
+        self.accept_request(1).conn.send(SERVED)
+        self.until(lambda: handler.answers, "the reply")
+        self.balancer.react = send_once_to(ORIGIN)
+        handler = self.dispatch_read()
+        self.accept_request(0, self.origin).conn.send(OK_HTTP)
+        self.until(lambda: handler.answers, "the origin's reply")
         self.assertEqual(
-            (handler.told, set(self.budget.idle_connections)), ([b"V"], set(self.links[ORIGIN]._idle))
+            (handler.answers, set(self.budget.idle_connections)), ([b"V"], set(self.pools[ORIGIN]._idle))
         )
 
     def test_clients_beyond_their_share_do_not_close_idle_connections_to_servers(self) -> None:
-        handler = self.ask()
-        self.at_node().conn.send(SERVED)
-        self.until(lambda: handler.told, "the reply")
-        self.budget.limit, self.front.capacity.share = 4, 1  # one is reserved, the listener has one
+        handler = self.dispatch_read()
+        self.accept_request().conn.send(SERVED)
+        self.until(lambda: handler.answers, "the reply")
+        self.budget.limit, self.listener.capacity.share = 4, 1  # one is reserved, the listener has one
         first_client = self.client(PING)
-        self.answers(first_client, b"+PONG\r\n")
-        self.answers(self.client(PING), b"+PONG\r\n")
+        self.assert_received(first_client, b"+PONG\r\n")
+        self.assert_received(self.client(PING), b"+PONG\r\n")
         self.until(lambda: first_client.ends, "the first client to end")
         self.assertEqual((len(self.budget.idle_connections), self.node.peers[0].ends), (1, []))
 
     def test_accepting_resumes_when_any_descriptor_becomes_free(self) -> None:
         self.budget.used += 1  # for a connection to a server: no client's end can resume accepting
         waiting_client = self.client(PING)
-        self.until(lambda: not self.front._mask, "the listener to stop accepting")
+        self.until(lambda: not self.listener._mask, "the listener to stop accepting")
         self.budget.used -= 1
-        self.answers(waiting_client, b"+PONG\r\n")
-        self.answers(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
+        self.assert_received(waiting_client, b"+PONG\r\n")
+        self.assert_received(self.client(PING), b"+PONG\r\n")  # at the limit, in place of the idle client
         self.until(lambda: waiting_client.ends, "the idle client to be closed")
 
     def test_more_open_requests_than_memory_allows_are_rejected(self) -> None:
-        self.script.react = lambda event: []
-        handlers = [self.ask(), self.ask(), self.ask()]
-        self.assertEqual(self.ask().told, [400.0])
-        self.assertEqual([handler.told for handler in handlers], [[], [], []])
+        self.balancer.react = lambda event: []
+        handlers = [self.dispatch_read(), self.dispatch_read(), self.dispatch_read()]
+        self.assertEqual(self.dispatch_read().answers, [400.0])
+        self.assertEqual([handler.answers for handler in handlers], [[], [], []])
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -20,29 +20,29 @@
         self.addCleanup(gc.enable)
         for case in ("answered", "reset by the node", "client disconnected"):
             client = self.client(get())
-            self.until(lambda: any(peer.got for peer in self.node.peers), "a request")
-            [node] = [peer for peer in self.node.peers if peer.got]
-            node.got = b""
-            [connection] = list(self.front.clients)
-            [request] = self.engine._requests.unfinished()
+            self.until(lambda: any(peer.received for peer in self.node.peers), "a request")
+            [node] = [peer for peer in self.node.peers if peer.received]
+            node.received = b""
+            [connection] = list(self.listener.clients)
+            [request] = self.dispatcher._requests.unfinished()
             [attempt] = request.attempts
-            [upstream] = list(self.links[NODE]._busy)
+            [upstream] = list(self.pools[NODE]._busy)
             references += map(weakref.ref, (connection, connection.conn, request, attempt))
             if case == "reset by the node":
                 references += map(weakref.ref, (upstream, upstream.connection))
             if case == "client disconnected":
                 client.reset()
-                self.until(lambda: not self.front.clients, "the client's disconnect")
-                self.engine._abandon_attempt(attempt, Outcome.TIMEOUT)
+                self.until(lambda: not self.listener.clients, "the client's disconnect")
+                self.dispatcher._abandon_attempt(attempt, Outcome.TIMEOUT)
             else:
                 node.reset() if case == "reset by the node" else node.conn.send(SERVED)
-                self.until(lambda: client.got, "an answer")  # noqa: B023
+                self.until(lambda: client.received, "an answer")  # noqa: B023
                 client.conn.close_gracefully()
                 self.until(lambda: not client.conn.is_open, "the close of the connection")  # noqa: B023
             del connection, request, attempt, upstream
-        self.front.add_lingering(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
-        self.assertEqual(len(self.front.lingering_connections), 1)
-        self.script.events.clear()
+        self.listener.add_lingering(Connection(self.loop, self.budget, socket.socket(), RecordingPeer()))
+        self.assertEqual(len(self.listener.lingering_connections), 1)
+        self.balancer.events.clear()
         self.assertEqual([ref() for ref in references if ref()], [])
 
 
@@ -53,33 +53,33 @@
                 return [StartAttempt(event.request_id, NODE)] * 3
             return [StartAttempt(event.request_id, NODE)] if event.attempt == 0 else []
 
-        self.script.react = react
-        handler = self.ask()
-        self.assertEqual(self.script.ends(), [(2, "NOT_STARTED", False)])
-        self.at_node(0).conn.send(SERVED)
-        self.at_node(1).conn.send(SERVED)
-        self.until(lambda: len(self.script.ends()) == 4, "all ends")
-        self.assertEqual(handler.told, [b"V"])
-        self.assertIn((3, "NOT_STARTED", True), self.script.ends())
-        self.assertIn((1, "OK", True), self.script.ends())
+        self.balancer.react = react
+        handler = self.dispatch_read()
+        self.assertEqual(self.balancer.ends(), [(2, "NOT_STARTED", False)])
+        self.accept_request(0).conn.send(SERVED)
+        self.accept_request(1).conn.send(SERVED)
+        self.until(lambda: len(self.balancer.ends()) == 4, "all ends")
+        self.assertEqual(handler.answers, [b"V"])
+        self.assertIn((3, "NOT_STARTED", True), self.balancer.ends())
+        self.assertIn((1, "OK", True), self.balancer.ends())
 
     def test_an_expiry_is_limited_to_the_clients_deadline_and_takes_effect_at_once_if_past(self) -> None:
-        self.script.react = lambda event: (
+        self.balancer.react = lambda event: (
             [StartAttempt(event.request_id, NODE, event.request_id * 1e15)]
             if isinstance(event, RequestReceived)
             else []
         )
         started_at = self.loop.now()
-        self.ask(50)
-        self.until(lambda: self.script.ends(), "the deadline")
-        self.assertEqual(self.script.ends(), [(0, "TIMEOUT", False)])
+        self.dispatch_read(50)
+        self.until(lambda: self.balancer.ends(), "the deadline")
+        self.assertEqual(self.balancer.ends(), [(0, "TIMEOUT", False)])
         self.assertLess(self.loop.now() - started_at, 4000)
         started_at = self.loop.now()
-        self.script.react = lambda event: (
+        self.balancer.react = lambda event: (
             [StartAttempt(event.request_id, NODE, 1.0)] if isinstance(event, RequestReceived) else []
         )
-        self.ask()
-        self.until(lambda: len(self.script.ends()) == 2, "the immediate end")
+        self.dispatch_read()
+        self.until(lambda: len(self.balancer.ends()) == 2, "the immediate end")
         self.assertLess(self.loop.now() - started_at, 800)
 
 
@@ -94,19 +94,19 @@
                 ]
             return [Reject(event.request_id), Fail(event.request_id), Reject(77)]
 
-        self.script.react = react
-        handler = self.ask()
-        self.assertEqual((handler.told, self.script.ends()), ([0.0], [(0, "CANCELLED", False)]))
-        self.assertTrue(self.engine.is_idle)
+        self.balancer.react = react
+        handler = self.dispatch_read()
+        self.assertEqual((handler.answers, self.balancer.ends()), ([0.0], [(0, "CANCELLED", False)]))
+        self.assertTrue(self.dispatcher.is_idle)
 
     def test_a_request_is_failed_after_an_exception_in_the_balancer(self) -> None:
-        self.script.react = lambda event: [][1]
-        self.assertEqual(self.ask().told, ["failed"])
+        self.balancer.react = lambda event: [][1]
+        self.assertEqual(self.dispatch_read().answers, ["failed"])
 
         def fail_after_first(event: Any) -> list[Action]:
             return [StartAttempt(event.request_id, NODE)] if isinstance(event, RequestReceived) else [][1]
 
-        self.script.react = fail_after_first
-        handler = self.ask(60)
-        self.until(lambda: handler.told, "the timer of the request")
-        self.assertEqual(handler.told, ["failed"])
+        self.balancer.react = fail_after_first
+        handler = self.dispatch_read(60)
+        self.until(lambda: handler.answers, "the timer of the request")
+        self.assertEqual(handler.answers, ["failed"])
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -27,7 +27,7 @@
     RecordingListener,
     RecordingPeer,
     get,
-    once_to,
+    send_once_to,
 )
 
 
@@ -42,22 +42,22 @@
     """CONNECT_FAILED proves that an attempt has not run; after RESET it may have run."""
 
     def outcome(self, handler: RecordingHandler) -> str:
-        self.until(lambda: handler.told, "a final answer")
-        self.assertEqual(handler.told, ["failed"])
-        return self.script.ends()[0][1]
+        self.until(lambda: handler.answers, "a final answer")
+        self.assertEqual(handler.answers, ["failed"])
+        return self.balancer.ends()[0][1]
 
     def origin_reader(self) -> OriginReplyReader:
-        [connection] = self.links[ORIGIN]._busy
+        [connection] = self.pools[ORIGIN]._busy
         assert isinstance(connection.reader, OriginReplyReader)
         return connection.reader
 
     def test_a_refused_connection_is_connect_failed(self) -> None:
         self.node.close()
-        self.assertEqual(self.outcome(self.ask()), "CONNECT_FAILED")
+        self.assertEqual(self.outcome(self.dispatch_read()), "CONNECT_FAILED")
 
     def test_a_reset_before_the_last_byte_was_written_is_connect_failed(self) -> None:
-        handler = self.ask()
-        [upstream] = self.links[NODE]._busy
+        handler = self.dispatch_read()
+        [upstream] = self.pools[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         large = mock.patch(
             "tests.support.network_scene.CacheNodeProtocol.encode", return_value=b"x" * 150_000
@@ -68,8 +68,8 @@
             self.assertEqual(self.outcome(handler), "CONNECT_FAILED")
 
     def test_a_close_after_the_last_byte_was_written_is_a_reset(self) -> None:
-        handler = self.ask()
-        node = self.at_node()
+        handler = self.dispatch_read()
+        node = self.accept_request()
         node.conn.send(SERVED[:-3])  # an incomplete reply
         node.conn.close_gracefully()
         self.assertEqual(self.outcome(handler), "RESET")
@@ -82,23 +82,23 @@
             ("server_invalid_reply", lambda peer: peer.conn.send(b"?\r\n")),
         ):
             before = Counter(closed)
-            handler = self.ask()
-            end(self.at_node(len(self.node.peers)))
-            self.until(lambda: handler.told, "a final answer")  # noqa: B023
+            handler = self.dispatch_read()
+            end(self.accept_request(len(self.node.peers)))
+            self.until(lambda: handler.answers, "a final answer")  # noqa: B023
             self.assertEqual(closed - before, {name: 1})
 
     def test_a_busy_reply_is_a_rejection(self) -> None:
-        handler = self.ask()
-        self.at_node().conn.send(b"-BUSY\r\n")
+        handler = self.dispatch_read()
+        self.accept_request().conn.send(b"-BUSY\r\n")
         self.assertEqual(self.outcome(handler), "REJECTED")
 
     def test_an_invalid_reply_is_a_reset(self) -> None:
-        handler = self.ask()
-        self.at_node().conn.send(b"?\r\n")
+        handler = self.dispatch_read()
+        self.accept_request().conn.send(b"?\r\n")
         self.assertEqual(self.outcome(handler), "RESET")
 
     def test_a_response_without_a_length_is_complete_only_at_an_orderly_close(self) -> None:
-        self.script.react = once_to(ORIGIN)
+        self.balancer.react = send_once_to(ORIGIN)
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
         cases: list[tuple[Callable[[RecordingPeer], None], str]] = [
             (lambda peer: peer.conn.close_gracefully(), "OK"),
@@ -107,19 +107,19 @@
         ]
         for number, (end, outcome) in enumerate(cases):
             with self.subTest(outcome=outcome):
-                handler = self.ask()
-                origin = self.at_node(number, self.origin)
+                handler = self.dispatch_read()
+                origin = self.accept_request(number, self.origin)
                 origin.conn.send(head + b"VAL")
                 self.until(lambda: self.origin_reader()._response_reader.current.body, "a part of the body")
-                self.assertFalse(handler.told)
+                self.assertFalse(handler.answers)
                 end(origin)
-                self.until(lambda: handler.told, "a final answer")  # noqa: B023
-                self.assertEqual(self.script.ends()[-1][1], outcome)
-                self.assertEqual(handler.told, [b"VAL" if outcome == "OK" else "failed"])
+                self.until(lambda: handler.answers, "a final answer")  # noqa: B023
+                self.assertEqual(self.balancer.ends()[-1][1], outcome)
+                self.assertEqual(handler.answers, [b"VAL" if outcome == "OK" else "failed"])
 
     def test_no_reply_by_the_deadline_closes_the_connection(self) -> None:
-        handler = self.ask(60)
-        node = self.at_node()
+        handler = self.dispatch_read(60)
+        node = self.accept_request()
         self.assertEqual(self.outcome(handler), "TIMEOUT")
         self.until(lambda: node.ends, "the end of the connection")
 
@@ -135,9 +135,9 @@
     def miss_after(self, delay: float, data: bytes, then: bytes) -> float:
         """Make a request whose first attempt misses after `delay` ms and whose second goes to `then`. Returns
         the maximum of the remaining time."""
-        self.script.react = once_to(then=StartAttempt(1, then))
+        self.balancer.react = send_once_to(then=StartAttempt(1, then))
         self.client(data)
-        node = self.at_node()
+        node = self.accept_request()
         sent_at = self.loop.now()  # the proxy received the request before this
         wait_until(self, sent_at + delay)
         answered_at = self.loop.now()
@@ -154,8 +154,8 @@
 
     def check_deadline_at_origin(self, data: bytes) -> None:
         remaining = self.miss_after(80, data, ORIGIN)
-        origin = self.at_node(0, self.origin)
-        self.assert_labels(origin.got.split(b"X-Labels: ")[1].split(b"\r\n")[0], remaining)
+        origin = self.accept_request(0, self.origin)
+        self.assert_labels(origin.received.split(b"X-Labels: ")[1].split(b"\r\n")[0], remaining)
 
     def test_the_deadline_forwarded_to_the_origin_after_a_read_miss_is_the_remaining_time(self) -> None:
         self.check_deadline_at_origin(self.command(b"OBJ.GET"))
@@ -166,9 +166,9 @@
     def test_the_deadline_forwarded_to_a_second_cache_node_is_the_remaining_time(self) -> None:
         second = RecordingListener(self.loop)
         self.addCleanup(second.close)
-        self.links[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
+        self.pools[b"s-second"] = self.link(second.address, CacheNodeProtocol([]))
         remaining = self.miss_after(80, self.command(b"OBJ.GET"), b"s-second")
-        labels = self.at_node(0, second).got.split(b"\r\n")[8]
+        labels = self.accept_request(0, second).received.split(b"\r\n")[8]
         self.assert_labels(labels, remaining)
 
 
@@ -189,18 +189,18 @@
         self.node.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
     def until_partly_written(self) -> None:
-        self.until(lambda: self.links[NODE]._busy, "a connection")
-        [upstream] = self.links[NODE]._busy
+        self.until(lambda: self.pools[NODE]._busy, "a connection")
+        [upstream] = self.pools[NODE]._busy
         upstream.connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         self.until(lambda: upstream.connection.bytes_sent, "some bytes")
         self.assertTrue(len(upstream.connection.outbox))
         self.write_started_at = self.loop.now()
 
     def assert_aborted_in_time(self) -> None:
-        self.until(lambda: self.script.ends(), "the end of the attempt")
-        self.assertEqual(self.script.ends()[0][1], "CONNECT_FAILED")
+        self.until(lambda: self.balancer.ends(), "the end of the attempt")
+        self.assertEqual(self.balancer.ends()[0][1], "CONNECT_FAILED")
         self.assertLess(self.loop.now() - self.write_started_at, self.MAX_DELAY_MS)
-        self.assertFalse(self.links[NODE]._busy)  # the connection is closed, so no byte follows
+        self.assertFalse(self.pools[NODE]._busy)  # the connection is closed, so no byte follows
 
     def test_the_rest_is_not_written_after_the_client_disconnected(self) -> None:
         self.block_next_write()
@@ -212,16 +212,16 @@
     def test_the_rest_is_not_written_after_the_window_or_the_maximum_write_time(self) -> None:
         self.block_next_write()
         for window_ms in (30.0, inf):
-            self.script.events.clear()
+            self.balancer.events.clear()
             self.node.peers.clear()
             start_by = self.loop.now() + window_ms
             start = StartAttempt(0, NODE, start_by=start_by)
-            self.script.react = lambda e, start=start: [  # type: ignore[misc]
+            self.balancer.react = lambda e, start=start: [  # type: ignore[misc]
                 replace(start, request_id=e.request_id)
                 if isinstance(e, RequestReceived)
                 else Fail(e.request_id)
             ]
-            self.ask()
+            self.dispatch_read()
             self.until_partly_written()
             self.assert_aborted_in_time()
             self.assertTrue(window_ms == inf or self.loop.now() - start_by < 60)
@@ -274,19 +274,19 @@
                 client = self.client(get())
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
                 client.reset() if way == "reset" else client.conn.close()
-                self.until(lambda: self.engine.is_idle, "the request to be cancelled")
+                self.until(lambda: self.dispatcher.is_idle, "the request to be cancelled")
                 delayed.release()
                 [upstream] = delayed.held
                 self.until(lambda: not upstream.connecting, "the connection")  # noqa: B023
-                self.ask()  # sent on the same connection, as its first command
-                node = self.at_node(before)
-                self.assertEqual(node.got.count(b"OBJ.GET"), 1)
+                self.dispatch_read()  # sent on the same connection, as its first command
+                node = self.accept_request(before)
+                self.assertEqual(node.received.count(b"OBJ.GET"), 1)
                 node.conn.send(SERVED)
-                self.until(lambda: self.script.ends()[-1][1] == "OK", "a reply")
-                node.got = b""
-                self.links[NODE].retire()
-                self.links[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
-        self.assertEqual([end[1] for end in self.script.ends()], ["CONNECT_FAILED", "OK"] * 2)
+                self.until(lambda: self.balancer.ends()[-1][1] == "OK", "a reply")
+                node.received = b""
+                self.pools[NODE].retire()
+                self.pools[NODE] = self.link(self.node.address, CacheNodeProtocol([]))
+        self.assertEqual([end[1] for end in self.balancer.ends()], ["CONNECT_FAILED", "OK"] * 2)
 
     def test_without_the_send_guard_the_invariants_count_the_violations(self) -> None:
         """The invariants are checked in the same place as the guard, but independently of it."""
@@ -296,72 +296,74 @@
         client = self.client(get())
         self.until(lambda: delayed.held, "a connection")
         client.conn.close()
-        self.until(lambda: self.engine.is_idle, "the request to be cancelled")
-        self.links[NODE].retire()
-        self.stand_still(200)
+        self.until(lambda: self.dispatcher.is_idle, "the request to be cancelled")
+        self.pools[NODE].retire()
+        self.stall(200)
         with mock.patch("lupinladder.net.connection_pool.send_refusal", lambda *_: None):
             delayed.release()
-            self.at_node()
+            self.accept_request()
         self.assertEqual(
             violations - before, {"not_sent_after_client_left": 1, "not_sent_to_leaving_server": 1}
         )
 
     def test_no_attempt_is_sent_to_a_retired_server(self) -> None:
         delayed = self.delay_connections()
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.until(lambda: delayed.held, "a connection")
-        self.links[NODE].retire()
+        self.pools[NODE].retire()
         delayed.release()
-        self.until(lambda: handler.told, "a final answer")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
+        self.until(lambda: handler.answers, "a final answer")
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
         self.until(lambda: self.node.peers and self.node.peers[0].ends, "the end of the connection")
-        self.assertEqual(self.node.peers[0].got, b"")
+        self.assertEqual(self.node.peers[0].received, b"")
 
     def test_no_repeat_is_sent_after_its_deduplication_window(self) -> None:
-        self.script.react = lambda e: (
+        self.balancer.react = lambda e: (
             [StartAttempt(e.request_id, NODE, start_by=self.loop.now() + 30)]
             if isinstance(e, RequestReceived)
             else [Fail(1)]
         )
         delayed = self.delay_connections()
-        handler = self.ask()
+        handler = self.dispatch_read()
         self.until(lambda: delayed.held, "a connection")
         wait_until(self, self.loop.now() + 31)  # after the end of the window
         delayed.release()
-        self.until(lambda: handler.told, "a final answer")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
-        self.assertEqual(self.node.peers[0].got, b"")
+        self.until(lambda: handler.answers, "a final answer")
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
+        self.assertEqual(self.node.peers[0].received, b"")
 
     def test_the_wait_for_a_connection_is_subtracted_from_the_forwarded_deadline(self) -> None:
         for server, listener in ((NODE, self.node), (ORIGIN, self.origin)):
             with self.subTest(server=server):
                 delayed = self.delay_connections()
-                self.script.react = once_to(server)
-                self.ask()
+                self.balancer.react = send_once_to(server)
+                self.dispatch_read()
                 requested_at = self.loop.now()
                 self.until(lambda: delayed.held, "a connection")  # noqa: B023
                 wait_until(self, requested_at + 60)
                 remaining = 900 - (self.loop.now() - requested_at)
                 delayed.release()
-                forwarded_deadline = self.at_node(0, listener).got.split(b"d=")[1].split(b"\r\n")[0]
+                forwarded_deadline = (
+                    self.accept_request(0, listener).received.split(b"d=")[1].split(b"\r\n")[0]
+                )
                 self.assertLessEqual(int(forwarded_deadline), remaining + 0.5)
 
     def test_an_attempt_that_is_unsent_at_its_deadline_is_connect_failed(self) -> None:
         self.delay_connections()
-        handler = self.ask(60)
-        self.until(lambda: handler.told, "a final answer")
-        self.assertEqual(self.script.ends(), [(0, "CONNECT_FAILED", False)])
+        handler = self.dispatch_read(60)
+        self.until(lambda: handler.answers, "a final answer")
+        self.assertEqual(self.balancer.ends(), [(0, "CONNECT_FAILED", False)])
 
     def test_an_abandoned_attempt_queued_behind_others_is_not_sent(self) -> None:
         delayed = self.delay_connections()
-        first = self.ask()
+        first = self.dispatch_read()
         self.until(lambda: delayed.held, "a connection")
         with mock.patch.object(self.budget, "has_capacity", lambda keep=0: False):
-            second, third = self.ask(60), self.ask()
-        self.until(lambda: second.told, "the second to time out")
+            second, third = self.dispatch_read(60), self.dispatch_read()
+        self.until(lambda: second.answers, "the second to time out")
         delayed.release()
-        node = self.at_node()
-        self.until(lambda: node.got.count(b"OBJ.GET") == 2, "two commands")
+        node = self.accept_request()
+        self.until(lambda: node.received.count(b"OBJ.GET") == 2, "two commands")
         node.conn.send(SERVED * 2)
-        self.until(lambda: first.told and third.told, "both replies")
-        self.assertEqual((len(self.node.peers), node.got.count(b"OBJ.GET")), (1, 2))
+        self.until(lambda: first.answers and third.answers, "both replies")
+        self.assertEqual((len(self.node.peers), node.received.count(b"OBJ.GET")), (1, 2))
--- a/tests/support/network_scene.py
+++ b/tests/support/network_scene.py
@@ -1,4 +1,4 @@
-"""Real sockets for the tests of the network code: peers on the proxy's own loop, and a scripted balancer."""
+"""A test case with real sockets: recording peers on the event loop of the proxy, and a scripted balancer."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 MISSED = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
 
 
-def get(ident: bytes = b"a", wait: int = 900) -> bytes:
-    """A read under this id, whose client waits so many ms."""
-    return GET % (ident, wait)
+def get(request_id: bytes = b"a", wait: int = 900) -> bytes:
+    """Return a read with this request id and a client timeout of `wait` ms."""
+    return GET % (request_id, wait)
 
 
 class RecordingPeer:
-    """The other end of one connection; it keeps the bytes that came and how the connection ended."""
+    """The remote end of a connection. It records the bytes received and how the connection ended."""
 
     def __init__(self) -> None:
-        self.got = b""
+        self.received = b""
         self.ends = list[bool]()  # by_peer of each on_closed
         self.conn: Connection
 
@@ -54,19 +54,19 @@
         return True
 
     def on_data(self) -> None:
-        self.got += self.conn.inbox.read(len(self.conn.inbox))
+        self.received += self.conn.inbox.read(len(self.conn.inbox))
 
     def on_closed(self, by_peer: bool) -> None:
         self.ends.append(by_peer)
 
     def reset(self) -> None:
-        """Close with a reset, as when a process dies."""
+        """Close the connection with a TCP reset, as when the process is killed."""
         self.conn._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.conn.close()
 
 
 class RecordingListener:
-    """A listener on a port of its own, and a peer for each connection accepted."""
+    """A listener on a free port that creates a peer for each accepted connection."""
 
     peer_type: type[RecordingPeer] = RecordingPeer
 
@@ -75,21 +75,21 @@
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address: Address = self.sock.getsockname()
         self._loop = loop
-        loop.watch(self.sock, 0, READ, self._ready)
+        loop.watch(self.sock, 0, READ, self._on_ready)
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         peer = self.peer_type()
         peer.conn = Connection(self._loop, DescriptorBudget(99), self.sock.accept()[0], peer)
         self.peers.append(peer)
 
     def close(self) -> None:
         if self.sock.fileno() >= 0:
-            self._loop.watch(self.sock, READ, 0, self._ready)
+            self._loop.watch(self.sock, READ, 0, self._on_ready)
             self.sock.close()
 
 
 class ScriptedBalancer:
-    """Stands in for the Balancer: keeps the events and answers each by `react`."""
+    """A fake Balancer that records each event and returns the actions of `react` for it."""
 
     def __init__(self) -> None:
         self.events = list[Event]()
@@ -100,10 +100,10 @@
         return []
 
     def rebuild_all(self) -> None:
-        """Do nothing: it has no slots."""
+        """Do nothing, since there are no slots."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        assert not self._handling, "entered again from within"
+        assert not self._handling, "handle was called recursively"
         self._handling = True
         try:
             self.events.append(event)
@@ -112,7 +112,7 @@
             self._handling = False
 
     def ends(self) -> list[tuple[int, str, bool]]:
-        """(attempt, outcome, request_finished) of the attempts ended so far."""
+        """Return (attempt, outcome, request_finished) of each attempt ended so far."""
         return [
             (event.attempt, event.outcome.name, event.request_finished)
             for event in self.events
@@ -120,8 +120,8 @@
         ]
 
 
-def once_to(server: bytes = NODE, then: Action | None = None) -> Callable[[Any], list[Action]]:
-    """Send a request to the server; fail it, or do `then`, when that has ended without an answer."""
+def send_once_to(server: bytes = NODE, then: Action | None = None) -> Callable[[Any], list[Action]]:
+    """Send each request once to `server`. Without an answer, return `then` or fail the request."""
 
     def react(event: Any) -> list[Action]:
         if isinstance(event, RequestReceived):
@@ -134,24 +134,24 @@
 
 
 class RecordingHandler:
-    """A response handler that keeps what it was told."""
+    """A response handler that records the answers."""
 
     def __init__(self) -> None:
-        self.told = list[object]()  # a value, the wait of a rejection, or "failed"
+        self.answers = list[object]()  # a value, the retry_after of a rejection, or "failed"
         self.query: PendingRequest | None = None
 
     def on_served(self, value: bytes) -> None:
-        self.told.append(value)
+        self.answers.append(value)
 
     def on_rejected(self, retry_after: float) -> None:
-        self.told.append(retry_after)
+        self.answers.append(retry_after)
 
     def on_failed(self) -> None:
-        self.told.append("failed")
+        self.answers.append("failed")
 
 
 class NetworkScene(TestCase):
-    """A listener, a dispatcher with a scripted balancer, one cache node and the origin, all on one loop."""
+    """A listener, a dispatcher with a scripted balancer, a cache node and an origin on one event loop."""
 
     IDLE_MS = 10_000.0
     CONNECT_TIMEOUT_MS = 120.0
@@ -162,40 +162,40 @@
     UNTIL_TIMEOUT_MS = 5000.0
 
     def setUp(self) -> None:
-        quiet = mock.patch("builtins.print")
-        quiet.start()
-        self.addCleanup(quiet.stop)
+        print_patch = mock.patch("builtins.print")
+        print_patch.start()
+        self.addCleanup(print_patch.stop)
         self.loop = EventLoop()
         self.budget = DescriptorBudget(self.SOCKETS)
-        self.script = ScriptedBalancer()
-        self.script.react = once_to()
+        self.balancer = ScriptedBalancer()
+        self.balancer.react = send_once_to()
         self.node = RecordingListener(self.loop)
         self.addCleanup(self.node.close)
         self.origin = RecordingListener(self.loop)
         self.addCleanup(self.origin.close)
-        self.links = {
+        self.pools = {
             NODE: self.link(self.node.address, CacheNodeProtocol([])),
             ORIGIN: self.link(self.origin.address, OriginProtocol(self.origin.address, [])),
         }
-        self.engine = self._dispatcher()
-        self.front = ClientListener(
+        self.dispatcher = self._dispatcher()
+        self.listener = ClientListener(
             self.loop,
             self.budget,
-            self.engine,
+            self.dispatcher,
             open_listening_socket(("127.0.0.1", 0)),
             ["read"],
             self.TENANTS,
         )
-        self.address: Address = self.front._sock.getsockname()
-        self.addCleanup(self.front._sock.close)
+        self.address: Address = self.listener._sock.getsockname()
+        self.addCleanup(self.listener._sock.close)
 
     def _dispatcher(self) -> RequestDispatcher:
         settings = Settings([RequestClass(500, 1500)], max_attempts=2, max_retry_after=400.0)
-        with mock.patch.object(request_dispatcher, "Balancer", lambda *_: self.script):
-            return RequestDispatcher(self.loop, settings, 1, self.links.get, lambda: None, self.MAX_OPEN)
+        with mock.patch.object(request_dispatcher, "Balancer", lambda *_: self.balancer):
+            return RequestDispatcher(self.loop, settings, 1, self.pools.get, lambda: None, self.MAX_OPEN)
 
     def link(self, address: Address, protocol: UpstreamProtocol) -> ConnectionPool:
-        """A pool of connections to this address."""
+        """Create a pool of connections to this address."""
         return ConnectionPool(
             self.loop,
             self.budget,
@@ -207,44 +207,46 @@
         )
 
     def until(self, done: Callable[[], object], what: str = "") -> None:
-        """Turn the loop until `done`; a test fails after 5 s."""
-        late = list[bool]()
-        limit = self.loop.call_at(self.loop.now() + self.UNTIL_TIMEOUT_MS, lambda: late.append(True))
+        """Run the event loop until `done` returns true. The test fails after UNTIL_TIMEOUT_MS."""
+        timed_out = list[bool]()
+        timeout_timer = self.loop.call_at(
+            self.loop.now() + self.UNTIL_TIMEOUT_MS, lambda: timed_out.append(True)
+        )
         while not done():
             self.loop.run_once()
-            self.assertFalse(late, f"never came: {what}")
-        self.loop.cancel(limit)
+            self.assertFalse(timed_out, f"timed out waiting for {what}")
+        self.loop.cancel(timeout_timer)
 
     def client(self, data: bytes = b"") -> RecordingPeer:
-        """A client that has connected to the listener and sends this."""
+        """Connect a client to the listener and send `data`."""
         peer = RecordingPeer()
         peer.conn = Connection.connect(self.loop, DescriptorBudget(99), self.address, peer)
         peer.conn.send(data)
         return peer
 
-    def stand_still(self, ms: float) -> None:
-        """Let so much time pass between two turns of the loop, as when the process has no processor."""
+    def stall(self, ms: float) -> None:
+        """Advance the clock by `ms` between two loop iterations, as when the process gets no CPU time."""
         monotonic = time.monotonic
-        later = mock.patch("time.monotonic", lambda: monotonic() + ms / 1000)
-        later.start()
-        self.addCleanup(later.stop)
+        clock_patch = mock.patch("time.monotonic", lambda: monotonic() + ms / 1000)
+        clock_patch.start()
+        self.addCleanup(clock_patch.stop)
 
-    def ask(self, wait: float = 900) -> RecordingHandler:
-        """A read given straight to the dispatcher, by a client that waits so many ms."""
+    def dispatch_read(self, wait: float = 900) -> RecordingHandler:
+        """Pass a read directly to the dispatcher, with a client timeout of `wait` ms."""
         handler = RecordingHandler()
         command = parse_command([b"OBJ.GET", b"1f", b"a", b"c=read,d=%d" % wait], ["read"])
-        handler.query = self.engine.dispatch(
+        handler.query = self.dispatcher.dispatch(
             command, lambda number: RequestReceived(number, 0, wait), handler
         )
         return handler
 
-    def at_node(self, number: int = 0, listener: RecordingListener | None = None) -> RecordingPeer:
-        """The connection of this number at the node, or another listener, once a request has come on it."""
+    def accept_request(self, number: int = 0, listener: RecordingListener | None = None) -> RecordingPeer:
+        """Wait for a request on connection `number` of the node or of `listener`; return its remote end."""
         peers = (listener or self.node).peers
-        self.until(lambda: len(peers) > number and peers[number].got, "a request")
+        self.until(lambda: len(peers) > number and peers[number].received, "a request")
         return peers[number]
 
-    def answers(self, peer: RecordingPeer, data: bytes) -> None:
-        """Wait until this peer has so many bytes, which must be these."""
-        self.until(lambda: len(peer.got) >= len(data) or peer.ends, "an answer")
-        self.assertEqual(peer.got, data)
+    def assert_received(self, peer: RecordingPeer, data: bytes) -> None:
+        """Wait until this peer has received as many bytes as `data` has, and check that they are equal."""
+        self.until(lambda: len(peer.received) >= len(data) or peer.ends, "an answer")
+        self.assertEqual(peer.received, data)
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -1,4 +1,4 @@
-"""The program itself as a process, for tests that start, signal and talk to it."""
+"""A test case that runs the program as a process, and can send it signals and requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lupinladder.net.discovery.endpoint_parser import parse_address
-from tests.support.endpoint_lists import configuration, listing
+from tests.support.endpoint_lists import configuration, endpoint_snapshot
 from tests.support.network_scene import NetworkScene
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -21,8 +21,8 @@
 END_TIMEOUT_S = 30
 
 
-class EndedWithTest(subprocess.Popen[bytes]):
-    """A process that a failing test does not wait for."""
+class KilledOnTestFailure(subprocess.Popen[bytes]):
+    """A process that is killed when its test fails, so that the test does not wait for it."""
 
     def __exit__(self, exc_type: Any, exc_value: Any, exc_traceback: Any) -> None:
         if exc_type is not None:
@@ -31,7 +31,7 @@
 
 
 class ProxyProcess(NetworkScene):
-    """The program itself, as deploy/balancer.toml starts it, with its configuration in a file."""
+    """A test case that starts the program as deploy/balancer.toml does, with a configuration file."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -40,33 +40,35 @@
         self.config_path = Path(folder.name) / "config.json"
 
     def start(self, env: dict[str, str], stderr: int = subprocess.PIPE) -> subprocess.Popen[bytes]:
-        process = EndedWithTest(
+        process = KilledOnTestFailure(
             [sys.executable, "-m", "lupinladder"], cwd=ROOT, env={**os.environ, **env}, stderr=stderr
         )
-        self.addCleanup(process.kill)  # which does nothing to one that has ended
+        self.addCleanup(process.kill)  # has no effect if the process has ended
         return process
 
     def configuration(self) -> dict[str, Any]:
-        """A configuration that names a free port to listen on and this scene's node as the one endpoint."""
-        conf = configuration()
+        """Return a configuration with a free port to listen on and this scene's node as the only endpoint."""
+        config = configuration()
         with socket.create_server(("127.0.0.1", 0)) as spare:
-            conf["listen"] = f"127.0.0.1:{spare.getsockname()[1]}"
-        conf["known"] = listing(type="m2", address=f"127.0.0.1:{self.node.address[1]}", since_ms=0)
-        return conf
+            config["listen"] = f"127.0.0.1:{spare.getsockname()[1]}"
+        config["known"] = endpoint_snapshot(
+            type="m2", address=f"127.0.0.1:{self.node.address[1]}", since_ms=0
+        )
+        return config
 
     def until_logged(self, process: subprocess.Popen[bytes], event: str) -> bytes:
-        """The next line of this event on the process's log; a test fails if the log ends before."""
+        """Return the next log line of this event. The test fails if the log of the process ends first."""
         assert process.stderr
         for line in process.stderr:
             if line.startswith(b"lupinladder: %b " % event.encode()):
                 return line
-        message = f"no line of {event} before the end of the process"
+        message = f"the process ended without a log line of {event}"
         raise AssertionError(message)
 
-    def start_listening(self, conf: dict[str, Any]) -> subprocess.Popen[bytes]:
-        """Start with this configuration, and return once the proxy listens. `client` then connects to it."""
-        self.config_path.write_text(json.dumps(conf))
+    def start_listening(self, config: dict[str, Any]) -> subprocess.Popen[bytes]:
+        """Start with this configuration and wait until the proxy listens; `client` then connects to it."""
+        self.config_path.write_text(json.dumps(config))
         process = self.start({"GW_CONFIG": str(self.config_path)})
         self.until_logged(process, "metrics")
-        self.address = parse_address(conf["listen"])
+        self.address = parse_address(config["listen"])
         return process
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""The program beside thousands of servers: requests are answered while the list changes."""
+"""The proxy with thousands of servers answers requests in time while the endpoint list changes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.support.network_scene import RecordingListener, RecordingPeer, get
 from tests.support.proxy_process import END_TIMEOUT_S, ProxyProcess
 
-WAIT_MS = 400  # of a client: five times the value of an answer that no list delays on a busy machine
+WAIT_MS = 400  # client timeout; five times the latency on a busy machine without list updates
 VERSIONS = 10
 REQUESTS = 40
 VALUE = b"$1\r\nV\r\n"
 
 
-class ChangesOfTheList(ProxyProcess):
-    """A proxy that knows the largest list, and discovery, which goes on to tell changes."""
+class EndpointListChanges(ProxyProcess):
+    """A proxy with a list of the maximum size, and a fake discovery that sends changes."""
 
     UNTIL_TIMEOUT_MS = 30_000.0
 
@@ -26,39 +26,39 @@
         self.addCleanup(self.nodes.close)
         self.discovery = RecordingListener(self.loop)
         self.addCleanup(self.discovery.close)
-        conf = self.configuration()
-        conf["settings"]["membership-mode"] = "push"
-        conf["discovery"] = f"127.0.0.1:{self.discovery.address[1]}"
-        conf["known"]["endpoints"] = entries(range(LARGE_FLEET), self.port)
-        self.process = self.start_listening(conf)
+        config = self.configuration()
+        config["settings"]["membership-mode"] = "push"
+        config["discovery"] = f"127.0.0.1:{self.discovery.address[1]}"
+        config["known"]["endpoints"] = entries(range(LARGE_FLEET), self.port)
+        self.process = self.start_listening(config)
         self.addCleanup(self.process.communicate)
         self.addCleanup(self.process.kill)
-        self.watch = self.at_node(0, self.discovery)
+        self.watch = self.accept_request(0, self.discovery)
         self.watch.conn.send(STREAM_HEAD)
         self.serving_client = self.client()
         self.assert_answered(0)
 
     @property
     def port(self) -> int:
-        """The port of all nodes."""
+        """The port that all nodes share."""
         return self.nodes.address[1]
 
     def assert_answered(self, number: int) -> None:
-        """Send a read; the test fails unless its value comes before its client gives up."""
+        """Send a read and check that the value arrives within the client timeout."""
         client: RecordingPeer = self.serving_client
-        client.got = b""
+        client.received = b""
         sent_at = self.loop.now()
         client.conn.send(get(wait=WAIT_MS))
-        self.until(lambda: client.got or client.ends, f"answer {number}")
+        self.until(lambda: client.received or client.ends, f"answer {number}")
         waited = self.loop.now() - sent_at
-        self.assertEqual(client.got, VALUE, f"answer {number}, after {waited:.0f} ms")
+        self.assertEqual(client.received, VALUE, f"answer {number}, after {waited:.0f} ms")
         self.assertLess(waited, WAIT_MS)
 
     def assert_requests_answered(self) -> None:
         for number in range(REQUESTS):
             self.assert_answered(number)
 
-    def assert_ends_in_order(self) -> None:
+    def assert_graceful_shutdown(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.until(lambda: self.serving_client.ends, "the end")
         self.serving_client.conn.close()
@@ -71,28 +71,30 @@
         ]
         self.watch.conn.send(chunks(*versions))
         self.assert_requests_answered()
-        self.assert_ends_in_order()
+        self.assert_graceful_shutdown()
 
-    def test_requests_are_answered_in_time_while_a_whole_list_replaces_half_of_the_servers(self) -> None:
+    def test_requests_are_answered_in_time_while_a_snapshot_replaces_half_of_the_servers(self) -> None:
         half = LARGE_FLEET // 2
-        whole = list_text(9, entries(range(half, half + LARGE_FLEET), self.port), is_snapshot=True)
-        self.watch.conn.send(chunks(whole))
+        snapshot = list_text(9, entries(range(half, half + LARGE_FLEET), self.port), is_snapshot=True)
+        self.watch.conn.send(chunks(snapshot))
         self.assert_requests_answered()
-        self.assert_ends_in_order()
+        self.assert_graceful_shutdown()
 
-    def test_a_stop_and_a_reload_in_the_middle_of_a_long_list_leave_no_request_without_an_answer(
+    def test_a_reload_and_a_shutdown_during_a_large_update_leave_no_request_unanswered(
         self,
     ) -> None:
-        other = range(2 * LARGE_FLEET, 3 * LARGE_FLEET)
-        self.watch.conn.send(chunks(list_text(9, entries(other, self.port), is_snapshot=True)))
+        replacements = range(2 * LARGE_FLEET, 3 * LARGE_FLEET)
+        self.watch.conn.send(chunks(list_text(9, entries(replacements, self.port), is_snapshot=True)))
         self.process.send_signal(signal.SIGHUP)
         self.process.send_signal(signal.SIGTERM)
         client = self.serving_client
         while not client.ends:
-            client.got = b""
+            client.received = b""
             client.conn.send(get(wait=WAIT_MS))
-            self.until(lambda: client.got or client.ends, "an answer, or the close that crossed the request")
-            if client.got:
-                self.assertIn(client.got.split()[0], (b"$1", b"-BUSY"), client.got)
+            self.until(
+                lambda: client.received or client.ends, "an answer, or a close that crossed the request"
+            )
+            if client.received:
+                self.assertIn(client.received.split()[0], (b"$1", b"-BUSY"), client.received)
         client.conn.close()
         self.assertEqual(self.process.wait(END_TIMEOUT_S), 0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -15,7 +15,7 @@
 
 from lupinladder.net.discovery.endpoint_parser import parse_address
 from lupinladder.net.log import log_event
-from tests.support.endpoint_lists import listing
+from tests.support.endpoint_lists import endpoint_snapshot
 from tests.support.network_scene import SERVED, NetworkScene, RecordingListener, RecordingPeer, get
 from tests.support.proxy_process import END_TIMEOUT_S, PING, ROOT, ProxyProcess
 
@@ -75,7 +75,7 @@
                 self.until_logged(process, "start_postponed")
             other_socket.close()
             self.until_logged(process, "metrics")
-            self.at_node(0, discovery)
+            self.accept_request(0, discovery)
             self.assertEqual(len(discovery.peers), 1)
             process.send_signal(signal.SIGTERM)
             process.communicate(timeout=END_TIMEOUT_S)
@@ -123,7 +123,7 @@
         def is_served() -> bool:
             if not clients or clients[-1].ends:
                 clients.append(self.client(PING))
-            return clients[-1].got == b"+PONG\r\n"
+            return clients[-1].received == b"+PONG\r\n"
 
         self.loop.call_at(self.loop.now(), lambda: None)
         self.until(is_served, "an answer")
@@ -142,7 +142,7 @@
             assert process.stderr
             self.until(lambda: listeners[0].peers, "the first watch")
             client = self.client(get())
-            node = self.at_node()
+            node = self.accept_request()
             self.config_path.write_text("{")
             process.send_signal(signal.SIGHUP)
             self.assertIn(b"error=", self.until_logged(process, "reload_rejected"))
@@ -150,10 +150,10 @@
             self.config_path.write_text(json.dumps(config))
             for _ in range(50):
                 process.send_signal(signal.SIGHUP)
-            self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
-            self.assertIn(b"index=4 ", listeners[1].peers[0].got)
+            self.until(lambda: listeners[1].peers and listeners[1].peers[0].received, "the second watch")
+            self.assertIn(b"index=4 ", listeners[1].peers[0].received)
             node.conn.send(SERVED)
-            self.answers(client, b"$1\r\nV\r\n")
+            self.assert_received(client, b"$1\r\nV\r\n")
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
             self.until(lambda: client.ends, "the end")
@@ -178,7 +178,7 @@
             new_path = self.config_path.with_suffix(".new")
             new_path.write_text(json.dumps(config))
             new_path.replace(self.config_path)
-            self.until(lambda: listeners[1].peers and listeners[1].peers[0].got, "the second watch")
+            self.until(lambda: listeners[1].peers and listeners[1].peers[0].received, "the second watch")
             process.send_signal(signal.SIGTERM)
             process.communicate(timeout=END_TIMEOUT_S)
         self.assertEqual(process.returncode, 0)
@@ -210,9 +210,9 @@
         self.addCleanup(process.communicate)
         self.addCleanup(process.kill)
         for number in range(3):
-            self.at_node(number, discovery).reset()
-        watch = self.at_node(3, discovery)
-        draining = listing(type="m2", status="leaving", since_ms=0)
+            self.accept_request(number, discovery).reset()
+        watch = self.accept_request(3, discovery)
+        draining = endpoint_snapshot(type="m2", status="leaving", since_ms=0)
         text = json.dumps({**draining, "index": 9, "snapshot": False}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         watch.conn.send(head + b"%x\r\n%b\r\n" % (len(text), text))
@@ -221,9 +221,9 @@
     def is_rejected(self) -> bool:
         """Whether a request is rejected, as no node may receive it."""
         client = self.client(get(wait=100))
-        self.until(lambda: client.got, "an answer")
+        self.until(lambda: client.received, "an answer")
         client.conn.close()
-        return client.got.startswith(b"-BUSY")
+        return client.received.startswith(b"-BUSY")
 
 
 class Shutdown(ProxyProcess):
@@ -231,16 +231,16 @@
         with self.start_listening(self.configuration()) as process:
             client = self.client(get())
             idle = self.client(PING)
-            self.answers(idle, b"+PONG\r\n")
-            node = self.at_node()
+            self.assert_received(idle, b"+PONG\r\n")
+            node = self.accept_request()
             process.send_signal(signal.SIGTERM)
             late = self.client(PING)
-            self.answers(late, b"+PONG\r\n")  # it still accepts connections
+            self.assert_received(late, b"+PONG\r\n")  # it still accepts connections
             self.until(lambda: idle.ends and late.ends, "idle connections to end")
             self.assertEqual((idle.ends, client.ends), ([True], []))
             node.conn.send(SERVED)
             self.until(lambda: client.ends, "the last answer and the close")
-            self.assertEqual((client.got, client.ends), (b"$1\r\nV\r\n", [True]))
+            self.assertEqual((client.received, client.ends), (b"$1\r\nV\r\n", [True]))
             for peer in (client, idle, late):
                 peer.conn.close()
             process.communicate(timeout=END_TIMEOUT_S)
@@ -253,11 +253,11 @@
             config["settings"]["membership-mode"] = "push"
             with self.start_listening(config) as process:
                 client = self.client(get())
-                node = self.at_node()
+                node = self.accept_request()
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
                 node.conn.send(SERVED)
-                self.answers(client, b"$1\r\nV\r\n")
+                self.assert_received(client, b"$1\r\nV\r\n")
                 self.until(lambda: client.ends, "the end")
                 client.conn.close()
                 process.wait(END_TIMEOUT_S)
@@ -269,12 +269,12 @@
         config["settings"]["membership-mode"] = "push"
         with self.start_listening(config) as process:  # no process listens at discovery's address
             client = self.client(PING)
-            self.answers(client, b"+PONG\r\n")
+            self.assert_received(client, b"+PONG\r\n")
             process.send_signal(signal.SIGTERM)
             self.until_logged(process, "listener_closed")
             client.conn.send(get())
-            self.at_node().conn.send(SERVED)
-            self.answers(client, b"+PONG\r\n$1\r\nV\r\n")
+            self.accept_request().conn.send(SERVED)
+            self.assert_received(client, b"+PONG\r\n$1\r\nV\r\n")
             self.until(lambda: client.ends, "the end")
             client.conn.close()
             process.wait(END_TIMEOUT_S)
