--- a/lupinladder/proxy.py
+++ b/lupinladder/proxy.py
@@ -43,7 +43,7 @@
         operator: OperatorSettings | None = None,
     ) -> None:
         """The caller creates the loop and the listening socket, as these may fail for a moment at a start."""
-        self._proxy_config = proxy_config
+        self._config = proxy_config
         self._shutting_down = False
         self._reload_timer: Timer | None = None  # for the retry of a reload that could not read its file
         self.loop = loop
@@ -89,7 +89,7 @@
         from lupinladder.store.file_store import StoreUnavailableError
 
         try:
-            return StatePersister(self._proxy_config, operator.store, self.loop.now())
+            return StatePersister(self._config, operator.store, self.loop.now())
         except StoreUnavailableError as error:  # only the stored state is lost; the proxy starts without it
             log_event("store_unavailable", error=error)
             return None
@@ -97,7 +97,7 @@
     def _start_dispatcher(self) -> None:
         """Pass the balancer its first list: the stored one with the restored state, or the platform's."""
         if self._persister is None:
-            self.dispatcher.start(self._registry.load_cached(self._proxy_config.endpoint_list))
+            self.dispatcher.start(self._registry.load_cached(self._config.endpoint_list))
             return
         warm_start = self._persister.warm_start
         self.dispatcher.start(self._registry.load_cached(warm_start.endpoint_list))
@@ -107,7 +107,7 @@
 
     def _make_pool(self, endpoint: Endpoint, address: Address) -> ConnectionPool:
         """Create a connection pool for this server, with the protocol of its kind."""
-        proxy_config = self._proxy_config
+        proxy_config = self._config
         protocol: UpstreamProtocol = self._cache_node_protocol
         if endpoint.server_kind == proxy_config.origin_kind:
             protocol = OriginProtocol(address, proxy_config.settings.report_fields)
