--- a/lupinladder/balancing/balancer.py
+++ b/lupinladder/balancing/balancer.py
@@ -26,7 +26,7 @@
 from lupinladder.balancing.slot_table import MAX_OWNERS, SlotTable
 
 # Dimensionless constants; every time and rate comes from the settings or from measurements.
-# Extra owners asked before a rejection: with 1/3 of servers full, one leaves 0.11 rejected, two leave 0.04.
+# Extra owners asked before a rejection: with 1/3 of servers full, 0.11 are rejected with one, 0.04 with two.
 EXTRA_OWNERS_ASKED = 2
 RETRY_SHARE = 0.1  # retries after failures, as a share of requests
 MAX_RETRY_BUDGET = 16
--- a/lupinladder/balancing/concurrency_limiter.py
+++ b/lupinladder/balancing/concurrency_limiter.py
@@ -26,8 +26,8 @@
 
     @property
     def max_send_interval(self) -> float:
-        """The maximum time in ms between sends. One overload sample counts for as long. It grows with the
-        number of balancers, as their probes would otherwise add up to a load."""
+        """The maximum time in ms between sends, which is also how long one overload sample counts. It grows
+        with the number of balancers, as otherwise their probes would add up to a load on the server."""
         return WINDOW_OBJECTIVES * self.latency_objective * max(1.0, SPARSE_MIN_LIMIT / self.min_limit)
 
     def admits(self, now: float, share: float = 1.0) -> bool:
@@ -35,14 +35,18 @@
         return now >= self.next_send_at and self.inflight <= max(self.max_concurrency * share - 0.5, 0)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether several sends (one may be long) are in flight, but none completed for the mean latency."""
+        """Whether several sends are in flight and none has completed for longer than the mean latency.
+
+        A single send in flight is no sign of a stall, as it may just take long.
+        """
         return self.inflight > 1 and now - max(self.completed_at, self.busy_since) > self.latency > 0
 
     def on_send(self, now: float) -> None:
         """Count a send as in flight, and delay the next one if the limit is below one."""
         self.record_send(now)
-        if self.max_concurrency < 1:  # it holds as a mean, by Little's law: many balancers share a server
-            # For the origin, the probes of all balancers start at half of its former load and halve per drop.
+        if self.max_concurrency < 1:
+            # Many balancers share the server, so the limit holds on average, by Little's law. For the origin,
+            # the probes of all balancers start at half of its former load, and each drop halves them.
             load_interval = self.mean_send_interval * 2.0**self.consecutive_drops
             self.next_send_at = now + min(
                 self.latency / self.max_concurrency, self.max_send_interval, load_interval
@@ -88,7 +92,10 @@
         return max(limit, self.min_limit)
 
     def restore(self, restored: LimitRestored, now: float) -> None:
-        """Start from all or part of a stored limit; unless it is all, each window may double it."""
+        """Start with the stored limit, half of it, or a limit of one, as the mode says.
+
+        Unless the whole limit is restored, slow start follows: each window may at most double the limit.
+        """
         limit = 1.0
         if restored.min_latency > 0 and restored.mode is not RestoreMode.PROBE:
             self.min_latency = self.latency = restored.min_latency
@@ -104,8 +111,8 @@
         self.measure_window(now, MIN_WINDOW_SAMPLES)
         if is_first:
             self.retest_at = now + RETEST_LATENCIES * self.latency
-        # The objective bounds the rise of min_latency, but a distant server may have its round trip and some
-        # work in addition.
+        # min_latency may rise up to a bound that follows from the objective or, for a distant server, up to
+        # its round trip plus some work.
         bound = self.latency_objective / (2 + MIN_ALPHA)
         self.min_latency = min(self.min_latency, max(bound, self.lowest_latency + bound / 2.5))
         limit = self.limit_for_latency(self.latency)
@@ -119,7 +126,10 @@
             self._start_retest(limit, now)
 
     def _start_retest(self, limit: float, now: float) -> None:
-        """Cut the limit below what is in flight, drain for twice the latency, keep the cut until measured."""
+        """Reduce the limit below the sends in flight, and let the server drain for twice its latency.
+
+        The reduced limit stays in force until the latency has been measured.
+        """
         is_busy = self.inflight > MIN_WINDOW_SAMPLES
         reduced_limit = self.inflight / 2 if is_busy else limit / 4  # half of a few sends would be one
         self.max_concurrency = max(1.0, min(limit, reduced_limit))
--- a/lupinladder/balancing/pool_review.py
+++ b/lupinladder/balancing/pool_review.py
@@ -8,7 +8,7 @@
 REVIEW_OBJECTIVES = 2  # time between reviews, in latency objectives
 OVERLOAD_RATE = 0.5  # share of late, dropped or spilled sends above which slots move away
 SLOT_RETURN_RATE = OVERLOAD_RATE / 5  # share of such sends below which slots return
-MIN_SLOT_SHARE = 0.25  # minimum share of its slots that overload leaves a server
+MIN_SLOT_SHARE = 0.25  # minimum share of its slots that a server keeps under overload
 SLOT_SHARE_DECREASE = 1 / 16  # change of the slot share per review
 SLOT_SHARE_INCREASE = 1 / 64
 # Share of the load that overloads a cold server. Most servers warm up faster than the slowest: if all got
@@ -17,7 +17,9 @@
 
 
 def review_pool(pool: PoolState, now: float) -> float:
-    """Update what each server may be sent by the sends since the last review; returns the time of the next.
+    """Update how much each server may be sent, from the sends since the last review.
+
+    Returns the time of the next review.
 
     Only the servers in `pending_review` are visited. The capacity of a server that warms up is updated when
     it is needed: see `refresh_warm_up`.
@@ -51,7 +53,10 @@
 
 
 def _move_slots(pool: PoolState, server: Server) -> None:
-    """Move slots stepwise by load, in the order that `owners` gives; a sparse balancer needs many reviews."""
+    """Move slots from or to the server in small steps, in the order of the ranks that `owners` gives.
+
+    A balancer that sends rarely needs many reviews for this.
+    """
     if server.overload_signal > max(OVERLOAD_RATE, 2 * pool.overload_signal):
         server.slot_share = max(server.slot_share - SLOT_SHARE_DECREASE, MIN_SLOT_SHARE)
     elif server.overload_signal < SLOT_RETURN_RATE:
@@ -59,7 +64,7 @@
 
 
 def _update_warm_up(pool: PoolState, server: Server, now: float) -> None:
-    """Set what a started server may be sent, by the slowest warm-up that the settings describe."""
+    """Set how much a started server may be sent, assuming the slowest warm-up that the settings describe."""
     capacity = 1.0
     if server.warming_up:
         initial = pool.settings.initial_capacity
--- a/lupinladder/balancing/pool_state.py
+++ b/lupinladder/balancing/pool_state.py
@@ -89,10 +89,10 @@
         self.miss_ratio = max(self.miss_ratio + (fetched - self.miss_ratio) * EMA_ALPHA, MIN_MISS_RATIO)
 
     def smooth_latency(self, event: AttemptEnded, fetched: bool) -> float:
-        """Record the latency of a hit or a fetch; returns the server's own share of it.
+        """Record the latency of a hit or a fetch, and return the part of it that the server itself caused.
 
-        A slow origin delays every fetch, and the delay that all fetches share is not load of this server. A
-        failed fetch does not show an improvement.
+        A slow origin delays all fetches, and this common delay is not due to the load of the server. A failed
+        fetch may raise the estimate of the common delay, but does not lower it.
         """
         latency = event.latency
         succeeded = event.outcome is Outcome.OK
--- a/lupinladder/balancing/slot_table.py
+++ b/lupinladder/balancing/slot_table.py
@@ -15,7 +15,7 @@
 # Points of a server in the ring: enough that many other servers share the slots of a removed one.
 POINTS_PER_SERVER = 32
 MAX_POINTS = 16 * POINTS_PER_SERVER  # maximum points of one server, whatever its weight
-SPLIT_SHARE = 0.5  # share of a mean server's load for which a slot gets one more owner
+SPLIT_SHARE = 0.5  # a slot gets one more owner for each such share of the mean load of a server
 # Points that one call of `rebuild_step` inserts or removes in a few ms of CPU time. The points of its last
 # server may exceed this number.
 POINTS_PER_STEP = 32 * POINTS_PER_SERVER
@@ -25,7 +25,7 @@
     """The owners of each slot. Once the rebuild is complete, they depend only on the listed ids and weights:
     balancers with the same list agree, in whatever order they received it.
 
-    The cost of a change grows with the points of the changed servers. Removed servers own nothing from then
+    The cost of a change grows with the points of the changed servers. Removed servers own no slots from then
     on. Added servers are inserted into the ring step by step, and all servers of a list become owners at
     once: a partly updated table would differ between balancers.
     """
@@ -41,7 +41,7 @@
         self._pending_insert: list[RingMember] = []  # to be inserted into the ring
         self._staged: list[RingMember] = []  # in the ring, to become owners once the list is complete
         self._pending_removal: list[RingMember] = []  # to be removed from the ring
-        self._pending_recount: list[ServerId] = []  # whose points are to be counted for a new unit of weight
+        self._pending_recount: list[ServerId] = []  # whose points are recounted for a new unit of weight
         self._owners: dict[int, list[tuple[Server, float]]] = {}  # by slot, computed on demand
         self.load = SlotLoad()
 
@@ -76,7 +76,7 @@
             self._pending_recount = list(self._members)
         remaining = self._recount(remaining)
         remaining = self._insert_pending(remaining)
-        # While most servers are missing, the few owners would be overloaded, so that each step is published.
+        # While most servers own no slots yet, the few owners would be overloaded, so each step is published.
         mostly_missing = 2 * self._published_count < len(self._members)
         if mostly_missing or (is_list_complete and not self._pending_recount and not self._pending_insert):
             self._publish()
@@ -142,7 +142,7 @@
         self._pending_insert.append(member)
 
     def _restage(self, member: RingMember) -> None:
-        """Insert a server's points for its present weight; the old ones decide until the new ones do."""
+        """Insert a server's points for its present weight. The old points apply until these are published."""
         if member.is_published:
             self._stage(RingMember(member.server, member))
             return
@@ -185,6 +185,9 @@
         return list(servers)
 
     def owner_count(self, slot: int) -> int:
-        """Count a send; returns how many owners share the slot, as a hot key cannot be split over slots."""
+        """Count a send, and return how many owners share the slot.
+
+        A slot with a high load has several owners, as a hot key cannot be split over slots.
+        """
         load = self.load.count(slot)
         return 1 + int(load / max(SPLIT_SHARE * self.load.mean_server_load, MIN_WINDOW_SAMPLES))
--- a/lupinladder/emulator/rule_checker.py
+++ b/lupinladder/emulator/rule_checker.py
@@ -27,10 +27,10 @@
 
 SLACK_MS = 50.0  # ms added to each time limit, as times are measured at the sockets
 ANSWER_GRACE_MS = 20.0  # ms after the client's deadline within which an answer is still in time
-DRAIN_GRACE_MS = 1500.0  # grace period after discovery has sent that a server is draining
+DRAIN_GRACE_MS = 1500.0  # grace period after discovery has sent the draining status of a server
 SHUTDOWN_GRACE_MS = 700.0  # a request that arrives within this time after SIGTERM must still be answered
-CLIENT_DISCONNECT_GRACE_MS = 100.0  # after its client disconnects, an attempt may still be sent this long
-FORWARDED_DEADLINE_SLACK_MS = 150.0  # by which the forwarded deadline may exceed the remaining time
+CLIENT_DISCONNECT_GRACE_MS = 100.0  # an attempt may still be sent this long after its client left
+FORWARDED_DEADLINE_SLACK_MS = 150.0  # the forwarded deadline may exceed the remaining time by this
 FORWARDED_DEADLINE = re.compile(rb"c=[!-~]*?,d=([0-9]+)")  # the label d of a command
 SWEEP_MARGIN_MS = 100.0  # further time for an answer until a request counts as unanswered
 FINISHED_RETENTION_MS = 20_000.0  # how long a finished request is kept
@@ -81,7 +81,7 @@
                 request.end(RequestOutcome.EXCUSED, now)
 
     def proxy_suspended(self, now: float, proxy: int) -> None:
-        """The emulator sent SIGSTOP. No answer is due in time for requests that are open meanwhile; all
+        """The emulator sent SIGSTOP. Requests that are open meanwhile may be answered late or not at all; all
         other rules apply."""
         self._proxies[proxy].on_suspended(now)
 
@@ -179,7 +179,7 @@
             self._end_unanswered(now, request)
 
     def on_client_disconnected(self, now: float, request_id: bytes) -> None:
-        """The client has disconnected before it had to give up: no answer is due, and no attempt may
+        """The client has disconnected early, before its time to give up: no answer is due, and no attempt may
         start."""
         request = self._requests.get(request_id)
         if request and request.outcome is None:
--- a/lupinladder/errors.py
+++ b/lupinladder/errors.py
@@ -2,4 +2,4 @@
 
 
 class LupinladderError(Exception):
-    """Base of all errors that this project defines; subclasses carry details as attributes."""
+    """Base of all errors that this project defines. Subclasses store the details in attributes."""
--- a/lupinladder/net/client_connection.py
+++ b/lupinladder/net/client_connection.py
@@ -56,7 +56,7 @@
         return self._parser.idle
 
     def update_idle_state(self) -> None:
-        """Add the client as the latest of the idle clients, or remove it from them."""
+        """Add the client to the idle clients, as the latest, if it is idle; else remove it from them."""
         idle_clients = self._listener.idle_clients
         idle_clients.discard(self)
         if self.conn.is_open and self.idle and self in self._listener.clients:
@@ -211,7 +211,7 @@
     # Closing
 
     def on_closed(self, by_peer: bool) -> None:
-        """Drop what the client does not wait for any more.
+        """Drop the requests and commands whose replies the client no longer waits for.
 
         A client that ends its sending has disconnected: TCP does not distinguish a close from an end of
         sending. Its open requests and unread commands are dropped. Replies that are already encoded, such as
--- a/lupinladder/net/client_listener.py
+++ b/lupinladder/net/client_listener.py
@@ -246,7 +246,7 @@
         self.update_listening()
         self._sock.close()
         self.budget.used -= 1
-        if self.closes_idle_clients:  # idle clients were due to be closed before the last ones were accepted
+        if self.closes_idle_clients:  # the last clients were accepted after the idle ones were closed
             self._close_idle_clients()
 
     def _accept_backlog(self) -> bool:
--- a/lupinladder/net/connection.py
+++ b/lupinladder/net/connection.py
@@ -20,7 +20,7 @@
 # The outbox holds the largest reply and its framing, since a reply is appended as a whole.
 MAX_OUTBOX_BYTES = (1 << 20) + 1024
 MAX_READS_PER_EVENT = 4  # from one connection per iteration, so that it does not delay the others
-MAX_READS_IN_LATE_ITERATION = 64  # the same if ready bytes may have been unread for long
+MAX_READS_IN_LATE_ITERATION = 64  # the same, if bytes may have been unread for long
 TCP_STATES_AFTER_PEER_FIN = (7, 8, 9)  # close, close-wait, last-ack: the first byte of TCP_INFO, tcp(7)
 LINGER_MS = 1000.0  # how long a closing connection lingers while the peer takes no bytes
 MAX_DISCARDED_BYTES = 256 << 10  # maximum number of bytes read from a lingering connection
@@ -115,7 +115,7 @@
         self._update_watch()
 
     def read_available(self) -> None:
-        """Read the bytes that have arrived, as before a close: the peer considers them accepted."""
+        """Read the bytes that have arrived, for example before a close: the peer considers them accepted."""
         if self.is_open and not (self.connecting or self.eof or self._lingering):
             self._read()
             self._update_watch()
@@ -127,8 +127,8 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the connection is open, with neither unread bytes nor an end of input, even in the
-        system."""
+        """Whether the connection is open, and neither the inbox nor the system holds unread bytes or an end
+        of input."""
         if not self.is_open or self.eof or len(self.inbox):
             return False
         try:
@@ -196,8 +196,7 @@
             handler.on_closed(False)
 
     def _update_watch(self) -> None:
-        """Watch the socket for what is possible now: reading with space in the inbox, writing queued
-        bytes."""
+        """Watch the socket for what is possible now: reading if the inbox has space, writing queued bytes."""
         if not self.is_open:
             return
         can_read = not self.connecting and not self.eof and (self.inbox.available_space or self._lingering)
@@ -273,7 +272,7 @@
         return received
 
     def _discard_input(self) -> None:
-        """Discard input that is no longer needed, as the peer repeats it elsewhere.
+        """Discard input that is not needed, as the peer sends it again on another connection.
 
         A peer that keeps sending at full speed would use a whole core, so the connection is closed after
         MAX_DISCARDED_BYTES.
--- a/lupinladder/net/discovery/endpoint_watch.py
+++ b/lupinladder/net/discovery/endpoint_watch.py
@@ -144,10 +144,11 @@
                 self._listener.on_update(self, text)
 
     def _restart_silence_timer(self) -> None:
-        """Restart the silence timeout after progress: the request is written or answered, an object is
-        complete, an empty line was received, or enough bytes of an incomplete line were.
+        """Restart the silence timeout, as the watch has made progress.
 
-        Fewer bytes are not progress, as otherwise a watch that only trickles would never count as silent.
+        Progress means that the request was written or answered, or that a complete object, an empty line or
+        enough bytes of an incomplete line were received. Fewer bytes do not count, as otherwise a watch that
+        receives only a trickle of bytes would never be considered silent.
         """
         self._loop.cancel(self._silence_timer)
         silent_at = self._loop.now() + WATCH_SILENCE_TIMEOUT_MS
--- a/lupinladder/net/upstream_connection.py
+++ b/lupinladder/net/upstream_connection.py
@@ -27,21 +27,21 @@
     """An attempt whose command was passed to the socket and whose reply was not received yet."""
 
     attempt: Attempt | None  # None: abandoned; its reply must still be read, as replies come in order
-    end_offset: int  # bytes queued on the connection up to the attempt's last one
+    end_offset: int  # number of bytes queued on the connection up to the attempt's last byte
     write_started_at: float  # when its first byte was written, in ms
 
 
 class UpstreamConnection:
     """A connection of a pool, with its attempts in the order in which they are written.
 
-    It queues attempts that are not written yet, and checks each one when it is written whether it may still
+    It queues attempts until they can be written, and checks just before it writes one whether it may still
     be sent.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
         """Start connecting. Raises OSError if the system has no socket available."""
         self._pool = pool
-        self.unsent: deque[Attempt] = deque()  # until connected and all before them are written
+        self.unsent: deque[Attempt] = deque()  # they wait for the connection or for attempts before them
         self.in_flight: deque[InFlightAttempt] = deque()
         self.reader = pool.protocol.create_reader()
         self.idle_timer: Timer | None = None
@@ -88,7 +88,10 @@
         return attempt in self.unsent
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection and end its attempts: one may have run only if its last byte was written."""
+        """Close the connection and end its attempts.
+
+        The server may have executed an attempt only if its last byte was written.
+        """
         if not self._is_closed:
             metrics.connections_closed[reason] += 1
         self._is_closed = True
@@ -139,13 +142,13 @@
             self._write()
 
     def may_write(self) -> bool:
-        """Whether queued bytes may still be written. If the rest of a partly written command must not be, the
-        connection is closed."""
+        """Whether queued bytes may still be written. If the rest of a partly written command must not be
+        written, the connection is closed."""
         partial = next(
             (entry for entry in self.in_flight if self.connection.bytes_sent < entry.end_offset), None
         )
         if partial is None or partial.attempt is None:
-            return True  # an abandoned attempt counts as run, and others may wait behind it
+            return True  # an abandoned attempt counts as executed, and others may wait behind it
         refusal = continue_refusal(partial.attempt, partial.write_started_at, self._pool.loop.now())
         if refusal is None:
             return True
@@ -153,7 +156,7 @@
         return False
 
     def on_closed(self, by_peer: bool) -> None:
-        """The connection has failed, or the server has closed it in order, which may complete a reply."""
+        """The connection has failed, or the server has closed it normally, which may complete a reply."""
         reply: UpstreamReply | None = None
         attempt: Attempt | None = None
         if by_peer and self.in_flight:
@@ -196,7 +199,7 @@
             self._write_timer = self._pool.loop.call_at(write_by(attempt, now), self.may_write)
 
     def _abort_partial_write(self, refusal: SendRefusal) -> None:
-        """Close the connection during a partly written command, which therefore never runs."""
+        """Close the connection while a command is partly written, so that the server never executes it."""
         metrics.sends_refused[refusal] += 1
         self.close(CloseReason.SERVER_HALF_WRITTEN)
 
